--- a/tests/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -81,7 +81,7 @@
         return self.world.seats[name].node.node_state.incoming_snapshot
 
 
-class Missed(unittest.TestCase):
+class MissedSlots(unittest.TestCase):
     """A member away for longer than the kept log and more than one snapshot."""
 
     def away(self, changes, pace, lose_disk=False, texts_held=False):
--- a/tests/test_hold.py
+++ b/tests/drill/test_hold_command.py
@@ -20,7 +20,7 @@
 SECONDS = 30
 
 
-class Holds(unittest.TestCase):
+class HoldCommand(unittest.TestCase):
     def start(self, stdin, before=""):
         process = subprocess.Popen(
             [sys.executable, "-c", before + PROGRAM],
--- a/tests/test_former_life.py
+++ b/tests/node/test_request_number_reuse.py
@@ -38,7 +38,7 @@
         controller.step(Received("A:1", message), SECOND)
 
 
-class FormerLife(unittest.TestCase):
+class RequestNumberReuse(unittest.TestCase):
     def test_late_answers_to_a_followers_former_life_make_nothing_fresh(self):
         _, former = follower_of(1_000_000)
         messages = sent(former)
--- a/tests/test_platform_config.py
+++ b/tests/platform_adapter/test_configuration_translation.py
@@ -9,9 +9,8 @@
 from copy import deepcopy
 from pathlib import Path
 
-sys.path.append(str(Path(__file__).resolve().parents[1] / "platform"))
+sys.path.append(str(Path(__file__).resolve().parents[2] / "platform"))
 
-import test_registry
 from adapter.configuration import ConfigurationTranslator
 from adapter.control import ControlWords
 from adapter.names import escaped, unescaped
@@ -19,6 +18,7 @@
 from adapter.times import milliseconds
 from adapter.watch import SettingsWatch
 
+from tests.support.registry_world import World
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.configuration.routes import routes_of
 from willowpost.registry.calls.configurations import NumberedCall
@@ -677,7 +677,7 @@
         )
 
 
-class TwoOperators(test_registry.World):
+class TwoOperators(World):
     """Two operators, two registries, one number: what each hears on the platform."""
 
     def replaced(self, first, version, **route):
--- a/tests/test_platform_loopback.py
+++ b/tests/platform_adapter/test_loopback.py
@@ -9,7 +9,16 @@
 import tomllib
 import unittest
 
-from stand_ins_platform import ROOT, Client, Ledger, Operator, Origin, Processes, ask, until
+from tests.support.stand_ins_platform import (
+    ROOT,
+    Client,
+    Ledger,
+    Operator,
+    Origin,
+    Processes,
+    ask,
+    until,
+)
 
 ZONES = ("north", "south", "west")
 # only that it comes about, also on a busy machine: the bounds themselves are judged on virtual time
--- a/tests/test_platform_words.py
+++ b/tests/platform_adapter/test_translation_boundary.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[2]
 HEADERS = (
     "x-attempt-id",
     "x-deadline-remaining",
@@ -146,7 +146,7 @@
     }
 
 
-class Words(unittest.TestCase):
+class PlatformNames(unittest.TestCase):
     def test_no_name_of_the_platforms_stands_outside_its_folder(self):
         read = dict(texts())
         self.assertGreater(len(read), 100)
--- a/tests/test_caller_leaves.py
+++ b/tests/proxy/caller/test_caller_disconnects.py
@@ -11,8 +11,8 @@
 
 import gevent
 from gevent import socket
-from served import ScriptedOrigin, ServedProxy, answer
 
+from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.proxy.caller.standstill import STANDSTILL_SECONDS
 from willowpost.proxy.routing.snapshot import RoutingSnapshot
 from willowpost.state.tables import Tables
@@ -350,7 +350,7 @@
         self.assertTrue(origin.ended)
 
 
-class Tier(Leaving):
+class ShieldTier(Leaving):
     def test_a_shield_sees_that_the_edge_s_caller_has_left(self):
         origin = PatientOrigin(answer())
         shield = self.served(origin, role="shield")
@@ -375,7 +375,7 @@
     )
 
 
-class Vanished(Leaving):
+class VanishedCallers(Leaving):
     def test_a_machine_that_vanishes_is_noticed_by_the_kernel(self):
         """No FIN comes: probes on connections that rest, a limit on bytes not acknowledged."""
         origin = PatientOrigin(answer())
--- a/tests/test_idle_callers.py
+++ b/tests/proxy/caller/test_idle_connections.py
@@ -6,7 +6,8 @@
 from types import MappingProxyType
 
 from gevent import socket
-from served import ScriptedOrigin, ServedProxy, answer
+
+from tests.support.served import ScriptedOrigin, ServedProxy, answer
 
 ASKED = b"GET /x HTTP/1.1\r\nHost: h.example\r\n\r\n"
 BRIEF_MS, LONG_MS = 150, 60_000
--- a/tests/test_exchange.py
+++ b/tests/proxy/origin/test_exchange.py
@@ -13,27 +13,18 @@
 import gevent
 import geventhttpclient
 from gevent import socket
-from served import ScriptedOrigin, answer
-from test_kinds import Scripted, sealed
 
+from tests.support.scripted_proxy import Scripted, echoed, head, sealed
+from tests.support.served import ScriptedOrigin, answer
 from willowpost.proxy.origin.answer_reader import AnswerReader
 from willowpost.proxy.origin.exchange import Exchange
 from willowpost.proxy.origin.failure import ExchangeFailure
 from willowpost.shell.probe import probe_status
 
-SOURCES = Path(__file__).parent.parent / "src" / "willowpost"
+SOURCES = Path(__file__).parents[3] / "src" / "willowpost"
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER that makes close() a reset
 
 
-def head(request, name):
-    return request.lower().split(name.lower() + b": ")[1].split(b"\r\n")[0].decode()
-
-
-def echoed(request):
-    """An answer that names its own request, in its id and in its body."""
-    return sealed(request.split(b" ")[1], name=head(request, b"wp-request"))
-
-
 class CutOrigin(ScriptedOrigin):
     """Sends the first `cut` bytes of its answer, then closes or resets the connection."""
 
--- a/tests/test_exchange_fuzz.py
+++ b/tests/proxy/origin/test_exchange_fuzz.py
@@ -11,9 +11,8 @@
 from gevent import socket
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from test_exchange import echoed, head
-from test_kinds import Scripted, sealed
 
+from tests.support.scripted_proxy import Scripted, echoed, head, sealed
 from willowpost.proxy.caller.answers import INTERIM as INTERIM_ANSWER
 from willowpost.proxy.origin.answer import Echo
 from willowpost.proxy.origin.answer_reader import FOREIGN_MOST
--- a/tests/test_attempts.py
+++ b/tests/proxy/routing/test_attempt_limits.py
@@ -3,8 +3,8 @@
 import unittest
 
 import gevent
-from served import ScriptedOrigin, ServedProxy, answer
 
+from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.configuration.checker import ConfigurationChecker
 
 HOST = "h.example"
--- a/tests/test_parts.py
+++ b/tests/proxy/routing/test_base_quota_parts.py
@@ -5,7 +5,7 @@
 from willowpost.proxy.routing.snapshot import base_quota_parts
 
 
-class Parts(unittest.TestCase):
+class BaseQuotaParts(unittest.TestCase):
     def test_zones_have_alike_and_all_adds_up(self):
         zones = {"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b"}
         whole, left = (
--- a/tests/test_denials.py
+++ b/tests/proxy/routing/test_denials.py
@@ -5,8 +5,7 @@
 import unittest
 from unittest.mock import patch
 
-from served import ServedProxy
-
+from tests.support.served import ServedProxy
 from willowpost.configuration.delta import (
     ConfigurationDelta,
     text_delta,
--- a/tests/test_kinds.py
+++ b/tests/proxy/routing/test_route_kinds.py
@@ -8,45 +8,11 @@
 
 import gevent
 from gevent import socket
-from served import ScriptedOrigin, ServedProxy, answer
 
+from tests.support.scripted_proxy import Scripted, sealed
+from tests.support.served import answer
 from willowpost.proxy.origin.pool import quiet
 
-CONFIGURATION = {
-    "services": {"g": {"rate": 1000, "named": True, "sealed": True}},
-    "settings": {"service": "g", "tries": 2, "deadline_ms": 2000},
-    "branches": {
-        "once": {"host": "h.example", "path": "/once/", "settings": {"kind": "once"}},
-        "again": {"host": "h.example", "path": "/again/", "settings": {"kind": "repeatable"}},
-        "home": {
-            "host": "h.example",
-            "path": "/home/",
-            "settings": {"kind": "kept", "keep_seconds": 60, "homes": ["here"]},
-        },
-        "kept": {
-            "host": "h.example",
-            "path": "/kept/",
-            "settings": {"kind": "kept", "keep_seconds": 60},
-        },
-    },
-}
-
-
-def sealed(body=b"ok", status="200 OK", name="n1", **headers):
-    return answer(body, status, wp_request=name, wp_seal="s", **headers)
-
-
-class Scripted(unittest.TestCase):
-    def served(self, *scripts, **said):
-        self.origins = [ScriptedOrigin(*script) for script in scripts]
-        self.proxy = ServedProxy(*self.origins, configuration=CONFIGURATION)
-        self.addCleanup(self.proxy.stop)
-        self.proxy.set_origins(self.origins, **{"named": True, "sealed": True, **said})
-        return self.proxy
-
-    def asked(self):
-        return [request for origin in self.origins for request in origin.requests]
-
 
 class Once(Scripted):
     def test_whoever_says_not_run_is_followed_by_another_try(self):
--- a/tests/test_shields.py
+++ b/tests/proxy/routing/test_shields.py
@@ -6,8 +6,7 @@
 from dataclasses import replace
 from types import MappingProxyType
 
-from served import ScriptedOrigin, ServedProxy, answer
-
+from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.node.node_state import Card
 from willowpost.proxy.admission.buckets import Allowance
--- a/tests/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -5,8 +5,8 @@
 import unittest
 
 from gevent import socket
-from served import ScriptedOrigin, ServedProxy, answer
 
+from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.proxy.caller.lifetime import RequestLifetime
 from willowpost.proxy.figures import ProxyFigures
 from willowpost.proxy.outgoing import Invariant
@@ -77,7 +77,7 @@
         self.headers = {"host": "h.example", "wp-request": "n1"}
 
 
-class Lean(unittest.TestCase):
+class LazyLibraryImport(unittest.TestCase):
     def test_the_library_is_loaded_at_the_first_fetch(self):
         code = """import sys, willowpost.proxy.daemon
 assert "prometheus_client" not in sys.modules
--- a/tests/test_traffic.py
+++ b/tests/proxy/test_request_handling.py
@@ -7,8 +7,8 @@
 
 import gevent
 from gevent import socket
-from served import ScriptedOrigin, ServedProxy, answer
 
+from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.proxy.origin.exchange import Exchange
 from willowpost.proxy.origin.instance_check import InstanceCheck
 from willowpost.state.apply.operators import purge
--- a/tests/test_order_histories.py
+++ b/tests/registry/test_configuration_order_histories.py
@@ -12,8 +12,8 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from test_numbered import Log
 
+from tests.support.operation_log import Log
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.registry.calls.configurations import ConfigurationCalls
 from willowpost.registry.calls.control_api import ControlApi, unknown
--- a/tests/test_origins.py
+++ b/tests/registry/test_origin_lifecycle.py
@@ -7,9 +7,8 @@
 import json
 import unittest
 
-import test_registry
-from test_numbered import Log
-
+from tests.support.operation_log import Log
+from tests.support.registry_world import World
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.common.rendezvous import Rendezvous
@@ -219,7 +218,7 @@
         )
 
 
-class Duty(unittest.TestCase):
+class OriginMonitoring(unittest.TestCase):
     """One registry's part, with others and a proxy beside it."""
 
     def setUp(self):
@@ -388,7 +387,7 @@
         )
 
 
-class Calls(test_registry.World):
+class Calls(World):
     def setUp(self):
         super().setUp()
         self.call(
--- a/tests/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -2,87 +2,11 @@
 
 import json
 import unittest
-from unittest.mock import patch
 
-from willowpost.common.events import Withdrawn
-from willowpost.registry.front import Front
-from willowpost.shell.web import Call
-from willowpost.sim.fleet.world import FleetWorld
+from tests.support.registry_world import World
 from willowpost.sim.world import seconds
 
 
-class SimRunner:
-    """As the shell's runner, on virtual time."""
-
-    def __init__(self, world, address):
-        self.world, self.address = world, address
-        self.seat = world.seats[address]
-        self.clock = self.inbox = self
-
-    @property
-    def node(self):
-        return self.seat.node.node
-
-    def now(self):
-        return self.world.now(self.seat)
-
-    def put(self, event):
-        self.world.give(self.address, event)
-
-    def ask(self, *ops, timeout):
-        token = self.world.ask(self.address, *ops)
-        if not self.world.until(lambda: token in self.world.replies, seconds(timeout)):
-            self.put(Withdrawn(token))
-            return None
-        return self.world.replies[token]
-
-
-class World(unittest.TestCase):
-    """A founded fleet and two registries' fronts."""
-
-    seed = 9
-
-    def setUp(self):
-        self.world = FleetWorld(self.seed)
-        self.world.until(self.world.bootstrapped, seconds(10))
-        self.world.run(seconds(3))
-        self.fronts = [Front(SimRunner(self.world, f"r{number}"), None) for number in range(2)]
-        sleep = patch("gevent.sleep", lambda span: self.world.run(seconds(span)))
-        sleep.start()
-        self.addCleanup(sleep.stop)
-
-    def call(self, method, path, value=b"", first=0, **headers):
-        body = value if isinstance(value, bytes) else json.dumps(value).encode()
-        parts = tuple(path.strip("/").split("/"))
-        handler, params = next(
-            (
-                handler,
-                tuple(
-                    part
-                    for want, part in zip(route.strip("/").split("/"), parts, strict=False)
-                    if want == "*"
-                ),
-            )
-            for held, route, _, handler in self.fronts[first].routes()
-            if held == method
-            and len(route.strip("/").split("/")) == len(parts)
-            and all(
-                want in ("*", part)
-                for want, part in zip(route.strip("/").split("/"), parts, strict=False)
-            )
-        )
-        return handler(
-            Call(
-                method,
-                path,
-                "",
-                {name.replace("_", "-").lower(): held for name, held in headers.items()},
-                body,
-                params,
-            )
-        )
-
-
 class RegistryCalls(World):
     def test_configurations_are_checked_matched_raced_and_read_back_elsewhere(self):
         tree = self.world.configuration
--- a/tests/test_operator_days.py
+++ b/tests/registry/test_sustained_operator_load.py
@@ -4,8 +4,7 @@
 import json
 import unittest
 
-import test_registry
-
+from tests.support.registry_world import World
 from willowpost.sim.world import seconds
 
 UNDER_WAY = 8
@@ -16,7 +15,7 @@
 ZONES = ("a", "b")
 
 
-class Orders(test_registry.World):
+class Orders(World):
     def order(self, number):
         """Of every kind of order in turn: the call and its body."""
         match number % 4:
@@ -92,7 +91,7 @@
             self.assertEqual(200, self.call("POST", path, body, first=1).code, path)
 
 
-class Heartbeats(test_registry.World):
+class Heartbeats(World):
     def setUp(self):
         super().setUp()
         self.call("PUT", "/v1/configuration", self.world.configuration)
--- a/tests/run.py
+++ b/tests/run.py
@@ -13,27 +13,37 @@
 from pathlib import Path
 
 HERE = Path(__file__).resolve().parent
+REPOSITORY = HERE.parent
 # Tests that fail for a fault that is not mended yet: "PREFIX: CAUSE (ISSUE)", one a line, three at
 # most. PREFIX begins the ids of the tests. They are run and printed, and do not fail the whole run;
 # an entry none of whose tests fails does, unless PREFIX ends with SOMETIMES: a failure that came
 # once and is not traced yet.
-KNOWN_RED = HERE.parent / "KNOWN-RED.txt"
+KNOWN_RED = REPOSITORY / "KNOWN-RED.txt"
 KNOWN_RED_MOST = 3
 SOMETIMES = " (sometimes)"
 # the longest
 FIRST = (
-    "test_bounded_faults",
-    "test_small_rates",
-    "test_split_core",
-    "test_fleet_promises",
-    "test_restarts",
-    "test_read_back",
-    "test_faults",
+    "tests.system.test_bounded_faults",
+    "tests.system.test_small_allowances",
+    "tests.system.test_split_core",
+    "tests.system.test_fleet_guarantees",
+    "tests.system.test_planned_restarts",
+    "tests.system.test_configuration_read_back",
+    "tests.system.test_exhaustive_faults",
 )
 
 
 # fleets of real processes: one at a time, with the machine to themselves
-ALONE = ("test_soak.Short",)
+ALONE = ("tests.drill.test_soak.Short",)
+
+
+def import_from_repository():
+    """Makes the package `tests` importable, and its folders not importable by themselves.
+
+    The repository's root goes last, so that nothing in it hides an installed module.
+    """
+    sys.path[:] = [entry for entry in sys.path if entry not in (str(HERE), str(REPOSITORY))]
+    sys.path.append(str(REPOSITORY))
 
 
 def names(suite):
@@ -42,7 +52,7 @@
 
 
 def run(name):
-    sys.path.insert(0, str(HERE))
+    import_from_repository()
     begun, out = time.monotonic(), io.StringIO()
     result = unittest.TextTestRunner(out, verbosity=0).run(
         unittest.defaultTestLoader.loadTestsFromName(name)
@@ -78,10 +88,10 @@
 
 
 def main() -> int:
-    sys.path.insert(0, str(HERE))
+    import_from_repository()
     red, seen_red = known_red(), set()
     found = sorted(
-        set(names(unittest.defaultTestLoader.discover(str(HERE)))),
+        set(names(unittest.defaultTestLoader.discover(str(HERE), top_level_dir=str(REPOSITORY)))),
         key=lambda name: (not name.startswith(FIRST), name),
     )
     ran = failed = skipped = known = 0
--- a/tests/test_ending.py
+++ b/tests/shell/test_process_termination.py
@@ -41,7 +41,7 @@
     return found
 
 
-class Ends(unittest.TestCase):
+class ProcessTermination(unittest.TestCase):
     def test_every_daemon_ends_with_code_0_when_asked(self):
         for kind, (name, least) in KINDS.items():
             for number in (signal.SIGTERM, signal.SIGINT):
@@ -69,7 +69,7 @@
     def test_a_sighup_does_not_end_a_process_that_is_starting(self):
         """Found by the soak: a reload soon after a start ended the process."""
         entries = [f"import willowpost.{kind}.main" for kind in KINDS]
-        platform = Path(__file__).resolve().parent.parent / "platform"
+        platform = Path(__file__).resolve().parents[2] / "platform"
         entries.append(f"import sys; sys.path.append({str(platform)!r}); import adapter.program")
         for entry in entries:
             with self.subTest(entry=entry):
--- a/tests/test_duplicates.py
+++ b/tests/state/test_duplicate_commands.py
@@ -24,7 +24,7 @@
     return tables
 
 
-class Forgotten(unittest.TestCase):
+class ForgottenCommands(unittest.TestCase):
     def test_daemons_that_are_gone_do_not_add_up(self):
         few, many = after_daemons(ABSENT_KEPT), after_daemons(3 * ABSENT_KEPT)
         self.assertEqual((ABSENT_KEPT, ABSENT_KEPT), (len(few.seen), len(many.seen)))
--- a/tests/test_member_operations.py
+++ b/tests/state/test_membership_operations.py
@@ -27,7 +27,7 @@
     return {"identity": name, "name": name, "zone": zone, "address": name}
 
 
-class Op(unittest.TestCase):
+class MembershipOperations(unittest.TestCase):
     def setUp(self):
         core = tuple(member(name, zone) for name, zone in zip("ABC", "abc", strict=False))
         daemons = {name: store(name, zone) for name, zone in zip("ABCDE", "abcab", strict=False)}
--- a/tests/test_numbered.py
+++ b/tests/state/test_numbered_configurations.py
@@ -7,30 +7,16 @@
 import random
 import unittest
 
-import test_registry
-
+from tests.support.operation_log import Log
+from tests.support.registry_world import World
 from willowpost.sim.world import seconds
-from willowpost.state.apply import Apply
 from willowpost.state.tables import Tables, tables_from
-from willowpost.wire.messages import Command, Decision
 
 
 def tree(number):
     return {"services": {}, "settings": {"deadline_ms": number + 100}, "branches": {}}
 
 
-class Log:
-    """Ops into the tables, one slot each."""
-
-    def __init__(self):
-        self.tables = Tables(epoch=1)
-
-    def put(self, **op):
-        command = Command("d", 1, self.tables.slot + 1, 0, json.dumps([op]))
-        self.tables = Apply().step(self.tables, Decision(self.tables.slot, command.key, command))
-        return self.tables.seen["d"]["answers"][str(command.counter)][1][0]
-
-
 class Numbers(unittest.TestCase):
     def test_in_every_order_with_repeats_and_uneven_steps_the_highest_holds_and_none_goes_back(
         self,
@@ -87,7 +73,7 @@
         self.assertEqual(Tables(slot=4), tables_from(json.dumps(held)))
 
 
-class Calls(test_registry.World):
+class Calls(World):
     def number(self, version, first=0, **more):
         return self.call(
             "POST",
--- a/tests/test_repeats.py
+++ b/tests/state/test_repeated_orders.py
@@ -6,9 +6,8 @@
 import json
 import unittest
 
-import test_registry
-from test_numbered import Log
-
+from tests.support.operation_log import Log
+from tests.support.registry_world import World
 from willowpost.sim.world import seconds
 from willowpost.state.configuration_changes import CHANGES_KEPT, VERSION_MOST
 from willowpost.state.kinds import SUPERSEDED
@@ -100,7 +99,7 @@
         self.assertEqual(Tables(), tables_from(Tables().text()))
 
 
-class Calls(test_registry.World):
+class Calls(World):
     def setUp(self):
         super().setUp()
         self.tree = self.world.configuration
--- a/tests/stand_ins_platform.py
+++ b/tests/support/stand_ins_platform.py
@@ -19,7 +19,7 @@
 from gevent.pywsgi import WSGIServer
 from geventhttpclient import HTTPClient
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[2]
 HEARTBEAT = 0.5
 STEP = 0.05
 
--- a/tests/test_read_back.py
+++ b/tests/system/test_configuration_read_back.py
@@ -7,8 +7,7 @@
 import unittest
 from unittest.mock import patch
 
-import test_registry
-
+from tests.registry import test_registry
 from willowpost.configuration.checker import BYTES_MOST, ConfigurationChecker
 from willowpost.consensus.replica.catchup import Catchup
 from willowpost.consensus.replica.reads import Reads
@@ -64,7 +63,7 @@
     return world
 
 
-class NeverBack(unittest.TestCase):
+class MonotonicConfigurations(unittest.TestCase):
     def test_no_daemon_slides_back_however_late_its_state_update(self):
         for seed in range(3):
             late_snapshots(seed)
--- a/tests/test_faults.py
+++ b/tests/system/test_exhaustive_faults.py
@@ -24,7 +24,7 @@
     return world
 
 
-class Faults(unittest.TestCase):
+class SingleFaults(unittest.TestCase):
     def test_each_zone_dark_in_turn_keeps_service_and_refuses_a_handful(self):
         for zone in "abcd":
             with self.subTest(zone=zone):
--- a/tests/test_fleet_promises.py
+++ b/tests/system/test_fleet_guarantees.py
@@ -312,7 +312,7 @@
 )
 
 
-class Promises(unittest.TestCase):
+class FleetGuarantees(unittest.TestCase):
     def test_each_scenario_keeps_every_promise(self):
         for scenario in (
             *(scenario for scenario, *_ in OFF),
--- a/tests/test_large.py
+++ b/tests/system/test_large_configurations.py
@@ -26,7 +26,7 @@
     return {f"w{number}": branch(number, depth - 1) for number in range(routes)}
 
 
-class Large(unittest.TestCase):
+class LargeConfigurations(unittest.TestCase):
     def accept(self, world, routes, depth):
         world.configuration["branches"]["bulk"] = {
             "host": "bulk.example",
--- a/tests/test_cutoff.py
+++ b/tests/system/test_partitioned_control_machine.py
@@ -5,8 +5,7 @@
 from dataclasses import dataclass, replace
 from unittest.mock import patch
 
-from test_registry import World
-
+from tests.support.registry_world import World
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Asked, Received, Tick, Withdrawn
 from willowpost.common.rendezvous import Rendezvous
--- a/tests/test_day.py
+++ b/tests/system/test_quota_share_shifts.py
@@ -11,7 +11,7 @@
 from willowpost.sim.fleet.day import DayWorld
 
 
-class Day(unittest.TestCase):
+class QuotaShareShifts(unittest.TestCase):
     def test_shares_follow_the_day(self):
         found = DayWorld(1, 30, 200).day()
         self.assertGreater(found.busiest_part, 0.7)
--- a/tests/test_fault_kinds.py
+++ b/tests/system/test_single_fault_kinds.py
@@ -33,7 +33,7 @@
     add(number)
 
 
-class AtThePeak(unittest.TestCase):
+class SingleFaultsAtPeak(unittest.TestCase):
     """What a shipped deployment must bear, at a part of its peak so that each stays short."""
 
     def holds(self, kind):
