--- a/tools/rename_identifiers.py
+++ b/tools/rename_identifiers.py
@@ -102,7 +102,7 @@
     "consensus/replica/compaction.py": ROTATES, "consensus/replica/records.py": ROTATES,
     "consensus/replica/founding.py": ROTATES, "consensus/replica/voting.py": ROTATES,
     "consensus/replica/reads.py": ROTATES, "sim/world.py": ROTATES, "sim/rules.py": ROTATES,
-    "shell/props.py": {"mark": "synced_index", "turn": "rotate"}, "tests/test_disk.py": ROTATES,
+    "shell/props.py": {"mark": "synced_index", "turn": "rotate"}, "tests/shell/test_disk.py": ROTATES,
     "sim/core.py": ROTATES, "sim/fleet/nodes.py": ROTATES,
     "node/follower.py": {"turn": "source_index", "turnedAt": "source_changed_at"},
     "node/watch.py": {"life": "incarnation_id", "lives": "incarnation_ids"},
