--- a/tests/test_compatibility_frames.py
+++ b/tests/compatibility/test_frames.py
@@ -8,7 +8,7 @@
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import BODIES
 
-DATA = Path(__file__).parent / "data" / "bf1d9c7"
+DATA = Path(__file__).parent.parent / "data" / "bf1d9c7"
 
 
 def content(value):
--- a/tests/test_compatibility_operations.py
+++ b/tests/compatibility/test_operations.py
@@ -8,7 +8,7 @@
 from willowpost.state.apply import Apply
 from willowpost.state.tables import tables_from
 
-DATA = Path(__file__).parent / "data" / "bf1d9c7"
+DATA = Path(__file__).parent.parent / "data" / "bf1d9c7"
 # Fields that texts of earlier builds may lack, with what they are read as.
 NEWER = {"ended": [], "changes": [], "bound": {}, "seen_floor": 0, "purge_floor": 0}
 
--- a/tests/test_compatibility_store_folders.py
+++ b/tests/compatibility/test_store_folders.py
@@ -10,7 +10,7 @@
 from willowpost.shell.segment_format import segment_of
 from willowpost.wire.messages import Member
 
-STORES = Path(__file__).parent / "data" / "bf1d9c7" / "stores"
+STORES = Path(__file__).parent.parent / "data" / "bf1d9c7" / "stores"
 KINDS = {
     "identity",
     "bootstrap_promise",
