--- a/src/willowpost/common/events.py
+++ b/src/willowpost/common/events.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class SettingsChanged:
     """The process's settings changed while it runs: its seeds and, for a store, its pace."""
 
     seeds: tuple[str, ...]
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SubmitOperations:
     """A caller in this process wants operations in the log.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class WithdrawSubmission:
     """The caller that waited under `token` gave up; its operations are not submitted again."""
 
     token: Any
--- a/src/willowpost/configuration/checker.py
+++ b/src/willowpost/configuration/checker.py
@@ -11,7 +11,7 @@
 from pydantic import ValidationError
 from result import Err, Ok, Result
 
-from willowpost.common.uncollected import uncollected
+from willowpost.common.gc_pause import uncollected
 from willowpost.configuration.model import CONFIGURATION, SERVICE
 from willowpost.configuration.routes import DEPTH_MOST, ROUTES_MOST, trunk_of, walk
 from willowpost.shell.settings import findings_of
--- a/src/willowpost/configuration/delta.py
+++ b/src/willowpost/configuration/delta.py
@@ -93,25 +93,31 @@
 
     @classmethod
     def between(
-        cls, held: dict[str, Any], tree: dict[str, Any], source: str | None
+        cls,
+        base_tree: dict[str, Any],
+        base_source: str | None,
+        tree: dict[str, Any],
+        source: str | None,
     ) -> "ConfigurationDelta":
-        """The difference from the configuration in the tables; `held["tree"]` is a mapping."""
+        """The difference from one tree and document to others."""
         return cls(
-            tree_delta(held["tree"], tree),
-            None if source is None else text_delta(held.get("source") or "", source),
+            tree_delta(base_tree, tree),
+            None if source is None else text_delta(base_source or "", source),
         )
 
     def size(self) -> int:
         """Bytes of the difference as JSON."""
         return len(json.dumps([self.tree, self.source], separators=(",", ":")))
 
-    def on(self, held: dict[str, Any]) -> tuple[dict[str, Any], str | None]:
+    def on(
+        self, base_tree: dict[str, Any], base_source: str | None
+    ) -> tuple[dict[str, Any], str | None]:
         """The new tree and document.
 
         Raises:
             KeyError: The difference was made from another configuration.
         """
-        source = (
-            None if self.source is None else with_text_delta(held.get("source") or "", self.source)
-        )
-        return with_tree_delta(held["tree"], self.tree), source
+        source = None
+        if self.source is not None:
+            source = with_text_delta(base_source or "", self.source)
+        return with_tree_delta(base_tree, self.tree), source
--- a/src/willowpost/configuration/routes.py
+++ b/src/willowpost/configuration/routes.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from willowpost.common.uncollected import uncollected
+from willowpost.common.gc_pause import uncollected
 
 DEPTH_MOST = 8
 ROUTES_MOST = 20_000
--- a/src/willowpost/consensus/replica/acceptance.py
+++ b/src/willowpost/consensus/replica/acceptance.py
@@ -7,7 +7,7 @@
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.state.apply import answer_of
-from willowpost.wire.messages import Accepted, Command, Submit
+from willowpost.wire.messages import CommandAccepted, Command, SubmitCommand
 
 WAITING_MOST = 4096
 
@@ -36,7 +36,7 @@
 
 
 class Acceptance:
-    """Sends `Accepted` once n - f voters hold every slot up to the command's on disk.
+    """Sends `CommandAccepted` once n - f voters hold every slot up to the command's on disk.
 
     See `ReplicaState.safe`. At most WAITING_MOST submissions wait at once; further ones get no
     answer.
@@ -47,10 +47,10 @@
         self.waiting: dict[str, Waiting] = {}  # by the command's key
 
     def step(self, event, now: int) -> Plan:
-        """Record a `Submit`, then answer every command whose slot is safe."""
+        """Record a `SubmitCommand`, then answer every command whose slot is safe."""
         plan = Plan()
         match event:
-            case Received(source, Submit(command)) if len(self.waiting) < WAITING_MOST:
+            case Received(source, SubmitCommand(command)) if len(self.waiting) < WAITING_MOST:
                 self.waiting[command.key] = Waiting(command, source)
         if self.waiting:
             self._answer(plan)
@@ -63,7 +63,7 @@
             if outcome is None or outcome.slot >= safe:
                 continue
             del self.waiting[key]
-            plan.send(waiting.source, Accepted(key, outcome.slot, json.dumps(outcome.answers)))
+            plan.send(waiting.source, CommandAccepted(key, outcome.slot, json.dumps(outcome.answers)))
 
     def _outcome(self, command) -> Outcome | None:
         """Return what the log says of the command; None while it is not decided."""
--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -4,18 +4,18 @@
 from dataclasses import asdict, dataclass
 
 from willowpost.common.clock import SECOND
-from willowpost.common.events import Changed, Received, Tick
+from willowpost.common.events import SettingsChanged, Received, Tick
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.records import bootstrap_promise_record, found_record
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.wire.messages import Ask, Hello, Member, members_of
+from willowpost.wire.messages import CatchupRequest, Hello, Member, members_of
 
 # µs; a bootstrapped store without a successful quorum read for so long asks its seeds who votes
 WITHOUT_SOURCE_AFTER = 3 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
-class Rights:
+class VoterPolicy:
     """What a store may do to the set of voters.
 
     Attributes:
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, node_state: ReplicaState, seeds: tuple[str, ...], size: int, rights: Rights = Rights()
+        self, node_state: ReplicaState, seeds: tuple[str, ...], size: int, rights: VoterPolicy = VoterPolicy()
     ):
         self.node_state = node_state
         self.rights = rights
@@ -62,7 +62,7 @@
         """
         plan = Plan()
         match event:
-            case Changed(seeds=seeds, pace=pace):
+            case SettingsChanged(seeds=seeds, pace=pace):
                 self.seeds, self.node_state.pace = tuple(seeds), pace or self.node_state.pace
             case Received(source, Hello() as hello):
                 self._hear(source, hello, plan)
@@ -134,7 +134,7 @@
         self.round += 1
         if tellers and not self.node_state.incoming_snapshot.progressing(now):
             request = self.node_state.incoming_snapshot.request()
-            plan.send(tellers[self.round % len(tellers)], Ask(0, blank=True, snapshot=request))
+            plan.send(tellers[self.round % len(tellers)], CatchupRequest(0, blank=True, snapshot=request))
 
     def _hear(self, source, hello, plan):
         node_state = self.node_state
@@ -146,7 +146,7 @@
                 node_state.me.address,
                 *node_state.members.values(),
             }
-            plan.sends += [(address, Ask(node_state.tables.slot)) for address in sorted(strangers)]
+            plan.sends += [(address, CatchupRequest(node_state.tables.slot)) for address in sorted(strangers)]
         elif hello.bootstrapped:
             self.bootstrapped_addresses = {member.address for member in hello.known} - {
                 node_state.me.address
@@ -183,7 +183,7 @@
         if core and all(promised):
             plan.records.append(found_record(core))
             node_state.found({"core": core})
-            plan.note("bootstrap", "fleet founded", voters=[member["name"] for member in core])
+            plan.log("bootstrap", "fleet founded", voters=[member["name"] for member in core])
 
     def _may_promise(self) -> bool:
         """Whether this store may bootstrap, enough stores have claimed, and no fleet runs yet."""
--- a/src/willowpost/consensus/replica/catchup.py
+++ b/src/willowpost/consensus/replica/catchup.py
@@ -7,12 +7,12 @@
 """
 
 from willowpost.common.events import Received, Tick
-from willowpost.common.formats import UnknownFormat
+from willowpost.common.formats import UnknownFormatError
 from willowpost.common.plan import Plan
 from willowpost.consensus.log_size import leading
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.state.tables import tables_from
-from willowpost.wire.messages import Ask, BallotState, SyncedIndex, Tell
+from willowpost.wire.messages import CatchupRequest, BallotState, SyncedIndex, CatchupResponse
 
 DECISIONS_MOST = 64  # in one Tell
 DECISIONS_BYTES_MOST = 512 * 1024
@@ -35,8 +35,8 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event.
 
-        Answers an `Ask`, and a resent ballot state of a slot that is decided here; applies a
-        `Tell`; records a `SyncedIndex`. On a tick it reports the own synced index and asks for what
+        Answers an `CatchupRequest`, and a resent ballot state of a slot that is decided here; applies a
+        `CatchupResponse`; records a `SyncedIndex`. On a tick it reports the own synced index and asks for what
         is missing.
         """
         plan = Plan()
@@ -45,10 +45,10 @@
                 self.node_state.log_floor <= slot < self.node_state.tables.slot
             ):
                 # one that needs a snapshot pulls it, piece by piece
-                self._tell(source, Ask(slot), now, plan)
-            case Received(source, Ask() as ask):
+                self._tell(source, CatchupRequest(slot), now, plan)
+            case Received(source, CatchupRequest() as ask):
                 self._answer(source, ask, now, plan)
-            case Received(source, Tell() as told):
+            case Received(source, CatchupResponse() as told):
                 self._take(source, told, now, plan)
             case Received(_, SyncedIndex(identity, slot)):
                 self.node_state.hear_synced_index(identity, slot)
@@ -60,7 +60,7 @@
         if ask.key and ask.slot >= self.node_state.tables.slot:
             command = self._command(ask.key)
             if command is not None:
-                plan.send(source, Tell(ask.slot, command=command))
+                plan.send(source, CatchupResponse(ask.slot, command=command))
         elif self.node_state.bootstrapped:
             self._tell(source, ask, now, plan)
 
@@ -81,12 +81,12 @@
                 ask.snapshot,
                 now,
             )
-            plan.send(source, Tell(node_state.tables.slot, piece=piece))
+            plan.send(source, CatchupResponse(node_state.tables.slot, piece=piece))
             return
         last = min(ask.slot + DECISIONS_MOST, node_state.tables.slot)
         decisions = (node_state.log[slot] for slot in range(ask.slot, last))
         told = leading(decisions, DECISIONS_BYTES_MOST)
-        plan.send(source, Tell(ask.slot + len(told), told))
+        plan.send(source, CatchupResponse(ask.slot + len(told), told))
 
     def _take(self, source, told, now, plan):
         node_state, before = self.node_state, self.node_state.tables.slot
@@ -114,15 +114,15 @@
         node_state = self.node_state
         try:
             tables = tables_from(text)
-        except UnknownFormat as problem:
-            plan.note("catchup", "snapshot of an unknown format refused", problem=str(problem))
+        except UnknownFormatError as problem:
+            plan.log("catchup", "snapshot of an unknown format refused", problem=str(problem))
             return
         if not self._newer(tables.slot):
             return
         node_state.log, node_state.log_floor = {}, tables.slot
         node_state.take(tables)
         node_state.begin_segment(plan)
-        plan.note("catchup", "snapshot taken", slot=tables.slot)
+        plan.log("catchup", "snapshot taken", slot=tables.slot)
 
     def _newer(self, slot: int) -> bool:
         """Whether a snapshot of this slot is newer than the tables held here."""
@@ -140,7 +140,7 @@
         self.asked_at = now
         plan.send(
             source,
-            Ask(
+            CatchupRequest(
                 node_state.tables.slot,
                 blank=not node_state.bootstrapped,
                 snapshot=node_state.incoming_snapshot.request(),
--- a/src/willowpost/consensus/replica/compaction.py
+++ b/src/willowpost/consensus/replica/compaction.py
@@ -30,7 +30,7 @@
         node_state.log_floor = floor
         node_state.forget_strangers()
         node_state.begin_segment(plan)
-        plan.note("compaction", "snapshot written", slot=node_state.tables.slot, floor=floor)
+        plan.log("compaction", "snapshot written", slot=node_state.tables.slot, floor=floor)
         return plan
 
     def _due(self) -> bool:
--- a/src/willowpost/consensus/replica/missed_change.py
+++ b/src/willowpost/consensus/replica/missed_change.py
@@ -3,14 +3,14 @@
 from willowpost.common.events import Received
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.wire.messages import Ask, BallotState, SyncedIndex
+from willowpost.wire.messages import CatchupRequest, BallotState, SyncedIndex
 
 
 class MissedChange:
     """Asks an unknown voter that is ahead for the decisions in between, once per `pace.ask`.
 
     Without it, a voter whose former peers are all gone would never learn who votes now, although
-    the new voters keep sending it their synced index. What a `Tell` brings was decided, so it is
+    the new voters keep sending it their synced index. What a `CatchupResponse` brings was decided, so it is
     taken from any sender.
     """
 
@@ -27,7 +27,7 @@
             ) if self._is_ahead_and_unknown(identity, slot):
                 if now - self.asked_at >= self.node_state.pace.ask:
                     self.asked_at = now
-                    plan.send(source, Ask(self.node_state.tables.slot))
+                    plan.send(source, CatchupRequest(self.node_state.tables.slot))
         return plan
 
     def _is_ahead_and_unknown(self, identity: str, slot: int) -> bool:
--- a/src/willowpost/consensus/replica/reads.py
+++ b/src/willowpost/consensus/replica/quorum_reads.py
@@ -6,7 +6,7 @@
 from willowpost.consensus.log_size import leading
 from willowpost.consensus.open_reads import OpenReads
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.wire.messages import Poll, ReadAsk, ReadTell, StateUpdate
+from willowpost.wire.messages import Poll, QuorumReadRequest, QuorumReadResponse, StateUpdate
 
 DECISIONS_MOST = 128  # in one StateUpdate
 DECISIONS_BYTES_MOST = 512 * 1024
@@ -29,17 +29,17 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event; a read that has its quorum advances `fresh_as_of`.
 
-        A voter answers `ReadAsk`; a bootstrapped store answers `Poll`; a tick begins a read each
+        A voter answers `QuorumReadRequest`; a bootstrapped store answers `Poll`; a tick begins a read each
         `pace.read`.
         """
         plan = Plan()
         match event:
-            case Received(source, ReadAsk(nonce)) if self.node_state.voter:
+            case Received(source, QuorumReadRequest(nonce)) if self.node_state.voter:
                 plan.send(
                     source,
-                    ReadTell(nonce, self.node_state.me.identity, self.node_state.tables.slot),
+                    QuorumReadResponse(nonce, self.node_state.me.identity, self.node_state.tables.slot),
                 )
-            case Received(_, ReadTell(nonce, identity, slot)) if (
+            case Received(_, QuorumReadResponse(nonce, identity, slot)) if (
                 nonce in self.reads.open and identity in self.node_state.members
             ):
                 self.reads.hear(nonce, identity, slot)
@@ -60,7 +60,7 @@
         # a learner counts for nothing, but reads
         told = {node_state.me.identity: node_state.tables.slot} if node_state.voter else {}
         self.reads.begin(nonce, now, node_state.tables.epoch, told)
-        plan.sends += [(address, ReadAsk(nonce)) for address in node_state.others()]
+        plan.sends += [(address, QuorumReadRequest(nonce)) for address in node_state.others()]
 
     def _settle(self):
         node_state = self.node_state
--- a/src/willowpost/consensus/replica/replica_state.py
+++ b/src/willowpost/consensus/replica/replica_state.py
@@ -5,7 +5,7 @@
 from willowpost.common.clock import MILLI
 from willowpost.common.plan import Plan
 from willowpost.consensus.log_size import size_of
-from willowpost.consensus.queue import PendingQueue
+from willowpost.consensus.pending_queue import PendingQueue
 from willowpost.consensus.replica.barrier import former_identities, is_passed, quorum_index
 from willowpost.consensus.replica.records import (
     RecordKind,
@@ -19,14 +19,14 @@
     snapshot_record,
 )
 from willowpost.consensus.thresholds import Thresholds
-from willowpost.state.apply import Apply, decided
+from willowpost.state.apply import StateMachine, decided
 from willowpost.state.snapshot_transfer import SnapshotReceiver, SnapshotSource
 from willowpost.state.tables import Tables, tables_from
 from willowpost.wire.messages import BallotState, Command, Decision, Member, SyncedIndex
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ReplicaTuning:
     """Intervals in µs, and limits of the log in decisions and bytes; settings may change them.
 
     Attributes:
@@ -68,7 +68,7 @@
     """
 
     me: Member
-    pace: Pace = Pace()
+    pace: ReplicaTuning = ReplicaTuning()
     thresholds: type = Thresholds
     tables: Tables = field(default_factory=Tables)
     log: dict = field(default_factory=dict)
@@ -172,7 +172,7 @@
         self.appended_bytes += size_of(decision)
         self.stats["decided"] += 1
         self.stats["null"] += not decision.key
-        self.take(Apply().step(self.tables, decision))
+        self.take(StateMachine().apply(self.tables, decision))
 
     def begin_segment(self, plan: Plan) -> None:
         """Plan a new disk segment; it replaces the records that the plan would append."""
--- a/src/willowpost/consensus/replica/voting.py
+++ b/src/willowpost/consensus/replica/voting.py
@@ -8,7 +8,7 @@
 from willowpost.consensus.replica.records import ballot_state_record, passed_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.weakmvc import Verdict, WeakMvc, agreed_proposal
-from willowpost.wire.messages import Ask, BallotState, Command, Decision, Forward, Submit, Tell
+from willowpost.wire.messages import CatchupRequest, BallotState, Command, Decision, ForwardCommand, SubmitCommand, CatchupResponse
 
 EARLY_MOST = 64
 
@@ -31,9 +31,9 @@
         match event:
             case Received(_, BallotState() as ballot_state):
                 self._hear(event.source, ballot_state, now, plan)
-            case Received(_, Forward(command)) | Received(_, Submit(command)):
+            case Received(_, ForwardCommand(command)) | Received(_, SubmitCommand(command)):
                 self._pend(event, command, now, plan)
-            case Received(_, Tell(command=command)) if (
+            case Received(_, CatchupResponse(command=command)) if (
                 command is not None and not self.node_state.is_decided(command)
             ):
                 self.node_state.queue.push(command, now)
@@ -46,8 +46,8 @@
         node_state = self.node_state
         if node_state.is_decided(command) or not node_state.queue.push(command, now):
             return
-        if isinstance(event.message, Submit):
-            plan.sends += [(address, Forward(command)) for address in node_state.others()]
+        if isinstance(event.message, SubmitCommand):
+            plan.sends += [(address, ForwardCommand(command)) for address in node_state.others()]
 
     def _hear(self, source, ballot_state, now, plan):
         node_state, slot = self.node_state, self.node_state.tables.slot
@@ -133,7 +133,7 @@
         if now - self.asked_at < self.node_state.pace.resend // 2:
             return
         self.asked_at = now
-        question = Ask(self.node_state.tables.slot, key)
+        question = CatchupRequest(self.node_state.tables.slot, key)
         plan.sends += [(address, question) for address in self.node_state.others()]
 
     def _opened(self, plan) -> bool:
--- a/src/willowpost/consensus/weakmvc.py
+++ b/src/willowpost/consensus/weakmvc.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from willowpost.consensus.coin import Coin
-from willowpost.consensus.kinds import BallotValue, Stage, stage_of
+from willowpost.consensus.stages import BallotValue, Stage, stage_of
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.wire.messages import BallotState
 
--- a/src/willowpost/drill/capacity/filled.py
+++ b/src/willowpost/drill/capacity/filled.py
@@ -5,10 +5,10 @@
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.drill.capacity.size import Size
-from willowpost.node.node_state import Card
-from willowpost.node.watch import watchers_of
-from willowpost.state.tables import ANSWERS_KEPT, PURGES_KEPT, Tables
-from willowpost.wire.messages import Beat
+from willowpost.node.node_state import DaemonDescriptor
+from willowpost.node.failure_detector import watchers_of
+from willowpost.state.tables import MAX_RECORDED_RESULTS, MAX_PURGES, Tables
+from willowpost.wire.messages import OriginHeartbeat
 
 INCARNATION = 10**15
 
@@ -17,12 +17,12 @@
 class Cards:
     """The daemons of a fleet by kind."""
 
-    stores: tuple[Card, ...]
-    registries: tuple[Card, ...]
-    proxies: tuple[Card, ...]
+    stores: tuple[DaemonDescriptor, ...]
+    registries: tuple[DaemonDescriptor, ...]
+    proxies: tuple[DaemonDescriptor, ...]
 
     @property
-    def all(self) -> tuple[Card, ...]:
+    def all(self) -> tuple[DaemonDescriptor, ...]:
         """Of every kind, stores first."""
         return self.stores + self.registries + self.proxies
 
@@ -33,7 +33,7 @@
     def card(kind, role, number, machine, port):
         address = f"10.{number >> 8}.{number & 255}.7"
         name = f"{machine}{number}"
-        return Card(
+        return DaemonDescriptor(
             f"{name}/{kind}",
             kind,
             role,
@@ -90,9 +90,9 @@
     }
 
 
-def beat_of(origin: str, second: int) -> Beat:
+def beat_of(origin: str, second: int) -> OriginHeartbeat:
     """A heartbeat with all fields that an origin can send."""
-    return Beat(origin, 3, 0, 8, 10_000 + second)
+    return OriginHeartbeat(origin, 3, 0, 8, 10_000 + second)
 
 
 class FilledTables:
@@ -101,9 +101,9 @@
     All daemons are up, all origins warm, all purge entries used and all services owned.
     """
 
-    def make(self, size: Size, purges: int = PURGES_KEPT) -> Tables:
+    def make(self, size: Size, purges: int = MAX_PURGES) -> Tables:
         """Tables of a fleet of this size with so many purges kept."""
-        cards, slot = cards_of(size), max(purges, PURGES_KEPT) + 100
+        cards, slot = cards_of(size), max(purges, MAX_PURGES) + 100
         daemons = {card.id: {**asdict(card), "state": "up", "since": 1} for card in cards.all}
         core = tuple(
             {"identity": card.id, "name": card.name, "zone": card.zone, "address": card.address}
@@ -136,7 +136,7 @@
         # far would be barred
         answers = {
             str(number): [number, [{"ok": True, "slot": number}]]
-            for number in range(1, ANSWERS_KEPT + 1)
+            for number in range(1, MAX_RECORDED_RESULTS + 1)
         }
         seen = {
             card.id: {
@@ -183,7 +183,7 @@
         return {name: tuple(targets) for name, targets in watched.items()}
 
 
-def homes_of(zone: str, cards: Cards) -> tuple[Card, ...]:
+def homes_of(zone: str, cards: Cards) -> tuple[DaemonDescriptor, ...]:
     """The zone's proxies in the order in which they are asked for state updates."""
     in_zone = {card.id: card for card in cards.proxies if card.zone == zone}
     return tuple(in_zone[name] for name in Rendezvous().rank(f"state_update/{zone}", in_zone))
--- a/src/willowpost/drill/capacity/lightweight.py
+++ b/src/willowpost/drill/capacity/lightweight.py
@@ -4,7 +4,7 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Received
+from willowpost.common.events import SubmitOperations, Received
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.drill.capacity.filled import (
     FilledTables,
@@ -17,9 +17,9 @@
 from willowpost.drill.capacity.meter import YARDSTICK, Meter
 from willowpost.drill.capacity.simulated_peers import ANSWERED, SimulatedPeers
 from willowpost.drill.capacity.size import Size
-from willowpost.node.watch import Watch
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.proxy.node import ProxyNode
-from willowpost.registry.beats import Heard
+from willowpost.registry.origin_health import HeartbeatReceived
 from willowpost.registry.node import RegistryNode
 from willowpost.shell.mesh import HEAD
 from willowpost.sim.world import World, seconds
@@ -111,7 +111,7 @@
                     else ProxyNode(card, seeds, wall)
                 )
                 node.node_state.tables = self.tables
-            for watch in [held for held in node.controllers if isinstance(held, Watch)]:
+            for watch in [held for held in node.controllers if isinstance(held, FailureDetector)]:
                 # a store has read its own copy of the tables
                 watch.seen_daemons, watch.watched = watch.tables().daemons, self.watched[card.id]
             return node
@@ -119,7 +119,7 @@
         return build
 
     def _beat(self, address, origin):
-        self.give(address, Heard(beat_of(origin, self.time // SECOND), True))
+        self.give(address, HeartbeatReceived(beat_of(origin, self.time // SECOND), True))
         self.at(int(self.size.beat_seconds * SECOND), self._beat, address, origin)
 
     def _look(self):
@@ -129,7 +129,7 @@
     def _purge(self):
         self.purged += 1
         registry = self.stepped[self.purged % len(self.stepped)]
-        self.give(registry.address, Asked(None, (purge_of(self.purged),)))
+        self.give(registry.address, SubmitOperations(None, (purge_of(self.purged),)))
         self.at(int(SECOND / self.size.purges), self._purge)
 
     def give(self, address, event):
--- a/src/willowpost/drill/capacity/report.py
+++ b/src/willowpost/drill/capacity/report.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from willowpost.common.clock import MILLI
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.drill.capacity.fit import Fitter
 from willowpost.drill.capacity.lightweight import LightweightFleet
 from willowpost.drill.capacity.size import BUDGET, DESIGN, LADDER, Budget, Size
@@ -198,7 +198,7 @@
         for between in (1, 12, 30, 60):
             for rate in (GATHERED, DESIGN.purges):
                 found = PaceMeasure(
-                    list("abcde"), regions, between * MILLI, MILLI, Pace(), rate, self.seed
+                    list("abcde"), regions, between * MILLI, MILLI, ReplicaTuning(), rate, self.seed
                 ).run(10.0)
                 self.line(
                     f"{between} | {rate:g} | {rate * 10:g} | {found.commands} | {found.slots} | "
--- a/src/willowpost/drill/capacity/simulated_peers.py
+++ b/src/willowpost/drill/capacity/simulated_peers.py
@@ -4,11 +4,11 @@
 from willowpost.drill.capacity.filled import beat_of, homes_of
 from willowpost.node.follower import POLL_EVERY
 from willowpost.node.node_state import NodeState
-from willowpost.node.watch import PING_EVERY
+from willowpost.node.failure_detector import PING_EVERY
 from willowpost.proxy.admission.quota_shares import LOOK_EVERY
-from willowpost.wire.messages import Ping, Poll, Pong, QuotaShareAsk, QuotaShareTell, StateUpdate
+from willowpost.wire.messages import Ping, Poll, Pong, QuotaShareRequest, QuotaShareResponse, StateUpdate
 
-ANSWERED = (StateUpdate, Ping, QuotaShareAsk)  # what a simulated peer answers; all else it ignores
+ANSWERED = (StateUpdate, Ping, QuotaShareRequest)  # what a simulated peer answers; all else it ignores
 
 
 class SimulatedPeers:
@@ -33,8 +33,8 @@
                 self.slots[address] = max(self.slots[address], slot)
             case Ping(nonce, _):
                 self._say(address, source, Pong(nonce, self.cards[address].incarnation_id))
-            case QuotaShareAsk(nonce, service, fence, _):
-                self._say(address, source, QuotaShareTell(nonce, service, fence, 1000))
+            case QuotaShareRequest(nonce, service, fence, _):
+                self._say(address, source, QuotaShareResponse(nonce, service, fence, 1000))
 
     def _homes(self):
         """Zone -> its first home, by the followers' own order."""
@@ -77,7 +77,7 @@
                         lambda card=card, key=key, fence=fence, address=address: self._say(
                             card.address,
                             address,
-                            QuotaShareAsk(
+                            QuotaShareRequest(
                                 self._next(), key.removeprefix("quota_share/"), fence, 1000
                             ),
                         ),
--- a/src/willowpost/drill/capacity/units.py
+++ b/src/willowpost/drill/capacity/units.py
@@ -11,10 +11,10 @@
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.drill.capacity.filled import FilledTables, configuration_of, purge_of
 from willowpost.drill.capacity.size import Size
-from willowpost.node.watch import watchers_of
+from willowpost.node.failure_detector import watchers_of
 from willowpost.proxy.cache.store import CacheStore, Entry
 from willowpost.proxy.routing.snapshot import SnapshotMaker
-from willowpost.state.apply import Apply
+from willowpost.state.apply import StateMachine
 from willowpost.state.tables import tables_from
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import Command, Decision, StateUpdate
@@ -98,7 +98,7 @@
             ("watch sets after one change of a card", "ms"): self._watch,
             ("snapshot made for one slot", "ms"): self._snapshot,
             ("a purge's slot applied", "ms"): lambda held: millis(
-                Apply().step, held, slot_of(held, purge_of(1))
+                StateMachine().step, held, slot_of(held, purge_of(1))
             ),
             ("tables written as text", "ms"): lambda held: millis(held.text),
             ("tables read from text", "ms"): lambda held: millis(tables_from, held.text()),
@@ -147,7 +147,7 @@
             ),
             ("configuration decoded", "ms"): lambda count: millis(Codec().decode, frames[count]),
             ("configuration's slot applied", "ms"): lambda count: millis(
-                Apply().step, tables, slot_of(tables, op(trees[count]))
+                StateMachine().step, tables, slot_of(tables, op(trees[count]))
             ),
             ("routes made of a configuration", "ms"): lambda count: millis(
                 lambda: SnapshotMaker().make(self._with(tables, trees[count]))
--- a/src/willowpost/drill/soak/judge.py
+++ b/src/willowpost/drill/soak/judge.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Leave:
+class ShutdownRequested:
     """An origin that said that it leaves: from the acknowledgement to the end of that process."""
 
     address: str
@@ -33,7 +33,7 @@
             have been out of touch; only those that serve on past their lease are excused by it.
     """
 
-    leaves: list[Leave] = field(default_factory=list)
+    leaves: list[ShutdownRequested] = field(default_factory=list)
     killed: dict[str, list[tuple[int, int]]] = field(default_factory=dict)
     out_of_touch: list[tuple[int, int]] = field(default_factory=list)
 
--- a/src/willowpost/drill/soak/run.py
+++ b/src/willowpost/drill/soak/run.py
@@ -12,7 +12,7 @@
 from willowpost.drill.rules import Findings
 from willowpost.drill.soak.callers import SoakCallers
 from willowpost.drill.soak.fleet import CONFIGURATION, HOST, SoakFleet, layout
-from willowpost.drill.soak.judge import Leave, Record, SoakRules
+from willowpost.drill.soak.judge import ShutdownRequested, Record, SoakRules
 from willowpost.drill.soak.schedule import Kind, Parts, Trouble, drawn
 from willowpost.stand_ins.callers import ask
 
@@ -213,7 +213,7 @@
         self._steer([address], "crash")
         self._steer([address], "start")
         if held is not None and held[0] == 200 and held[2]:
-            self.record.leaves.append(Leave(address, acknowledged_at, ended_at))
+            self.record.leaves.append(ShutdownRequested(address, acknowledged_at, ended_at))
 
     def _change(self) -> bool:
         """Proposes another configuration; whether it was accepted."""
--- a/src/willowpost/drill/tools.py
+++ b/src/willowpost/drill/tools.py
@@ -10,7 +10,7 @@
 from cleo.helpers import argument, option
 
 from willowpost.common.clock import MILLI
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.sim.fault_schedules import CoreFaultSchedule
 from willowpost.sim.fleet.bounded_faults import BoundedFaultSchedule
 from willowpost.sim.fleet.fault_schedule import FleetFaultSchedule
@@ -107,7 +107,7 @@
         for freeze in (self.option("freeze") or str(own.get("freeze", 0))).split(","):
             for jitter in self.option("jitter").split(","):
                 for rate in self.option("rates").split(","):
-                    pace = Pace(
+                    pace = ReplicaTuning(
                         freeze=int(float(freeze) * MILLI), resend=own.get("resend", 60) * MILLI
                     )
                     found = PaceMeasure(
--- a/src/willowpost/model/beginning.py
+++ b/src/willowpost/model/beginning.py
@@ -2,7 +2,7 @@
 
 import json
 
-from willowpost.common.events import Asked
+from willowpost.common.events import SubmitOperations
 from willowpost.common.events import Tick as TickEvent
 from willowpost.model.history import History
 from willowpost.model.invariants import record_decisions
@@ -53,7 +53,7 @@
     first = parts.scope.first_store[number]
     voters = [machine.name for machine in voters_of(parts.scope)]
     client = build_client(name, voters[first:] + voters[:first])
-    client.step(Asked(name, (parts.scope.commands[number],)), NOW)
+    client.step(SubmitOperations(name, (parts.scope.commands[number],)), NOW)
     client = copy_of(client, aged)
     plan = client.step(TickEvent(), NOW)
     return parts.number_image(client), parts.number_sends(name, plan)
--- a/src/willowpost/model/invariants.py
+++ b/src/willowpost/model/invariants.py
@@ -8,7 +8,7 @@
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.model.disk_facts import DiskFacts
 from willowpost.model.history import BallotPlace, History
-from willowpost.wire.messages import Accepted, BallotState, ReadTell, SyncedIndex
+from willowpost.wire.messages import CommandAccepted, BallotState, QuorumReadResponse, SyncedIndex
 
 Operation = Mapping[str, Any]
 
@@ -57,13 +57,13 @@
     match message:
         case BallotState():
             return _record_ballot(history, message, where)
-        case Accepted(key, slot, answers):
+        case CommandAccepted(key, slot, answers):
             told = json.loads(answers)
             if not isinstance(told, list):
                 return history  # barred, or forgotten: nothing was promised
             history = history.with_accepted(slot, key)
             return _record_confirmation(history, operations.get(key, {}), told[0], where)
-        case SyncedIndex(identity, slot) | ReadTell(_, identity, slot):
+        case SyncedIndex(identity, slot) | QuorumReadResponse(_, identity, slot):
             if slot < dict(history.claimed_slots).get(identity, 0):
                 raise Violation(WENT_BACK, f"{where} says slot {slot}, as {identity}, said more")
             return history.with_claimed_slot(identity, slot)
--- a/src/willowpost/model/processes.py
+++ b/src/willowpost/model/processes.py
@@ -8,7 +8,7 @@
 from willowpost.common.events import Received
 from willowpost.common.events import Tick as TickEvent
 from willowpost.common.plan import Plan
-from willowpost.consensus.replica.bootstrap import Rights
+from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.consensus.replica.records import decision_record, identity_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.thresholds import Thresholds
@@ -16,10 +16,10 @@
 from willowpost.model.scope import Machine, Role, Scope
 from willowpost.node.command_client import CommandClient
 from willowpost.node.follower import Follower
-from willowpost.node.joiner import Joiner
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.join import FleetJoin
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.watch import Watch
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.state.tables import Tables
 from willowpost.store.node import StoreNode
 from willowpost.wire.messages import Command, Decision, Member
@@ -31,7 +31,7 @@
 Record = dict[str, Any]
 # Joining and watching put commands of their own into the log; the scopes give their outcome in
 # the log's prefix instead.
-NOT_MODELLED = (Joiner, Watch)
+NOT_MODELLED = (FleetJoin, FailureDetector)
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     """A process whose follower is kept fresh by its own quorum reads only, as in a registry."""
 
     def __init__(self, tables: Tables) -> None:
-        card = Card(READER, "registry", "core", READER, "z", READER, "", incarnation_of(1))
+        card = DaemonDescriptor(READER, "registry", "core", READER, "z", READER, "", incarnation_of(1))
         self.node_state = NodeState(card, tables)
         self.follower = Follower(self.node_state, (), tree=False)
         self.quorum_read = QuorumRead(self.node_state, self.follower)
@@ -147,7 +147,7 @@
         incarnation_of(life),
         scope.pace,
         thresholds,
-        rights=Rights(may_bootstrap=False, max_voters=scope.max_voters),
+        rights=VoterPolicy(may_bootstrap=False, max_voters=scope.max_voters),
     )
     node.controllers = [each for each in node.controllers if not isinstance(each, NOT_MODELLED)]
     return node
--- a/src/willowpost/model/protections.py
+++ b/src/willowpost/model/protections.py
@@ -8,7 +8,7 @@
 
 from willowpost.common.nonce import NonceSequence
 from willowpost.consensus.replica import barrier
-from willowpost.consensus.replica.reads import Reads
+from willowpost.consensus.replica.quorum_reads import Reads
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.replica.voting import Voting
 from willowpost.consensus.thresholds import Thresholds
--- a/src/willowpost/model/scope.py
+++ b/src/willowpost/model/scope.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.model.logical_time import NEVER
 
 READS_OFF = NEVER
@@ -87,7 +87,7 @@
     reader: bool = False
     ticks: dict[str, int] = field(default_factory=_no_ticks)
     budget: Budget = Budget()
-    pace: Pace = Pace(read=READS_OFF, synced_index=NEVER, rotate=NEVER)
+    pace: ReplicaTuning = ReplicaTuning(read=READS_OFF, synced_index=NEVER, rotate=NEVER)
     max_voters: int = 0
     opening: tuple[Passes | Ticks, ...] = ()
     cuts: frozenset[tuple[str, str]] = frozenset()
--- a/src/willowpost/model/scopes.py
+++ b/src/willowpost/model/scopes.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.model.logical_time import NEVER
 from willowpost.model.operations import (
     EMPTY_A_ZONE,
@@ -18,7 +18,7 @@
 THREE = (Machine("s0", "a"), Machine("s1", "b"), Machine("s2", "c"))
 FIVE = (*THREE, Machine("s3", "a"), Machine("s4", "b"))
 WITH_LEARNER = (*THREE, Machine("s3", "c", Role.LEARNER))
-READING = Pace(synced_index=NEVER, rotate=NEVER)
+READING = ReplicaTuning(synced_index=NEVER, rotate=NEVER)
 
 
 # s2 is held lost, and is not: it runs on, and votes until it is replaced.
--- a/src/willowpost/node/command_client.py
+++ b/src/willowpost/node/command_client.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Received, Tick, Withdrawn
+from willowpost.common.events import SubmitOperations, Received, Tick, WithdrawSubmission
 from willowpost.common.plan import Plan
-from willowpost.wire.messages import Accepted, Command, Submit
+from willowpost.wire.messages import CommandAccepted, Command, SubmitCommand
 
 BATCH_WAIT = 5 * MILLI
 BATCH_MOST = 20
@@ -96,7 +96,7 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event.
 
-        `Asked` adds operations to the batch, `Withdrawn` ends a caller's wait, `Accepted` answers
+        `SubmitOperations` adds operations to the batch, `WithdrawSubmission` ends a caller's wait, `CommandAccepted` answers
         the callers of a command, and a tick resubmits what has waited for RETRY_AFTER. A batch is
         submitted when it holds BATCH_MOST operations or is BATCH_WAIT old.
 
@@ -106,11 +106,11 @@
         """
         plan = Plan()
         match event:
-            case Asked() as asked:
+            case SubmitOperations() as asked:
                 self._gather(asked, now)
-            case Withdrawn(token):
+            case WithdrawSubmission(token):
                 self._withdraw(token)
-            case Received(source, Accepted() as accepted):
+            case Received(source, CommandAccepted() as accepted):
                 self.unanswered_at.pop(source, None)
                 if accepted.key in self.pending:
                     self._settle(accepted, now, plan)
@@ -172,7 +172,7 @@
         cores = self.cores()
         if cores:
             entry.sent_to = min(cores, key=lambda address: self.unanswered_at.get(address, 0))
-            plan.send(entry.sent_to, Submit(entry.command))
+            plan.send(entry.sent_to, SubmitCommand(entry.command))
         entry.sent_at = now
 
     def _settle(self, accepted, now, plan):
--- a/src/willowpost/node/watch.py
+++ b/src/willowpost/node/failure_detector.py
@@ -4,7 +4,7 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Received, Tick
+from willowpost.common.events import SubmitOperations, Received, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
@@ -34,14 +34,14 @@
     return spread + tuple(name for name in ranked if name not in spread)[: WATCHERS - len(spread)]
 
 
-class Watch:
+class FailureDetector:
     """Pings the daemons assigned to this one and reports suspicions to the log.
 
     After a freeze of its own it suspects nobody before they had a new chance to answer.
     """
 
     def __init__(self, card, tables, command_client):
-        self.card = card
+        self.descriptor = card
         self.tables = tables  # () -> Tables
         self.command_client = command_client
         self.nonces = NonceSequence(card.id, card.incarnation, "ping")
@@ -57,7 +57,7 @@
         plan = Plan()
         match event:
             case Received(source, Ping(nonce, _)):
-                plan.send(source, Pong(nonce, self.card.incarnation_id))
+                plan.send(source, Pong(nonce, self.descriptor.incarnation_id))
             case Received(_, Pong(nonce, incarnation_id)) if self.nonces.issued(nonce):
                 self.heard[incarnation_id] = now
             case Tick():
@@ -77,12 +77,12 @@
             self.watched = tuple(
                 name
                 for name in tables.daemons
-                if name != self.card.id and self.card.id in watchers_of(name, tables.daemons)
+                if name != self.descriptor.id and self.descriptor.id in watchers_of(name, tables.daemons)
             )
         nonce = self.nonces.next()
         cards = {name: tables.daemons[name] for name in self.watched if name in tables.daemons}
         plan.sends += [
-            (card["address"], Ping(nonce, self.card.incarnation_id)) for card in cards.values()
+            (card["address"], Ping(nonce, self.descriptor.incarnation_id)) for card in cards.values()
         ]
         incarnation_ids = {name: f"{name}@{card['incarnation']}" for name, card in cards.items()}
         self.heard = {
@@ -94,7 +94,7 @@
             for name, incarnation_id in incarnation_ids.items()
             if now - self.heard[incarnation_id] > SUSPECT_AFTER
         }
-        mine = {name for name, held in tables.suspicions.items() if self.card.id in held}
+        mine = {name for name, held in tables.suspicions.items() if self.descriptor.id in held}
         changed = [(name, True) for name in sorted(silent - mine)] + [
             (name, False) for name in sorted(mine - silent)
         ]
@@ -103,7 +103,7 @@
                 "op": "suspicion",
                 "target": name,
                 "incarnation": tables.daemons[name]["incarnation"],
-                "watcher": self.card.id,
+                "watcher": self.descriptor.id,
                 "suspected": suspected,
             }
             for name, suspected in changed
@@ -112,9 +112,9 @@
         )
         if ops:
             self.reported.update({op["target"]: now for op in ops})
-            plan.join(self.command_client.step(Asked(None, ops, REPORT_LIFETIME), now))
+            plan.join(self.command_client.step(SubmitOperations(None, ops, REPORT_LIFETIME), now))
             for op in ops:
-                plan.note(
+                plan.log(
                     "watch",
                     "suspicions a daemon" if op["suspected"] else "hears a daemon again",
                     daemon=op["target"],
--- a/src/willowpost/node/follower.py
+++ b/src/willowpost/node/follower.py
@@ -4,14 +4,14 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Changed, Received, Tick
-from willowpost.common.formats import UnknownFormat
+from willowpost.common.events import SettingsChanged, Received, Tick
+from willowpost.common.formats import UnknownFormatError
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.consensus.log_size import leading, trailing
 from willowpost.node.node_state import LEASE, TAIL_BYTES_KEPT, TAIL_KEPT, NodeState
-from willowpost.state.apply import Apply
+from willowpost.state.apply import StateMachine
 from willowpost.state.tables import tables_from
 from willowpost.wire.messages import Hello, Ping, Poll, StateUpdate, members_of
 
@@ -41,8 +41,8 @@
         self.node_state = node_state
         self.seeds = tuple(seeds)
         self.tree = tree
-        self.apply = Apply()
-        card = node_state.card
+        self.apply = StateMachine()
+        card = node_state.descriptor
         self.nonces = NonceSequence(card.id, card.incarnation, "poll")
         self.polls: dict[int, int] = {}
         self.polled_at = -POLL_EVERY
@@ -79,7 +79,7 @@
                         known=members_of(self.node_state.tables.core),
                     ),
                 )
-            case Changed(seeds=seeds):
+            case SettingsChanged(seeds=seeds):
                 self.seeds = tuple(seeds)
             case Tick():
                 self._tick(now, plan)
@@ -94,11 +94,11 @@
         zone = {
             name: card
             for name, card in node_state.live("proxy").items()
-            if card["zone"] == node_state.card.zone
+            if card["zone"] == node_state.descriptor.zone
         }
-        ranked = Rendezvous().rank(f"state_update/{node_state.card.zone}", zone)
+        ranked = Rendezvous().rank(f"state_update/{node_state.descriptor.zone}", zone)
         before = (
-            ranked[: ranked.index(node_state.card.id)] if node_state.card.id in ranked else ranked
+            ranked[: ranked.index(node_state.descriptor.id)] if node_state.descriptor.id in ranked else ranked
         )
         return [zone[name]["address"] for name in before[:HOMES_TRIED]] + cores
 
@@ -177,8 +177,8 @@
             return piece is not None and bool(incoming.pieces) and incoming.progress_at == now
         try:
             tables = tables_from(text)
-        except UnknownFormat as problem:
-            plan.note("follower", "snapshot of an unknown format refused", problem=str(problem))
+        except UnknownFormatError as problem:
+            plan.log("follower", "snapshot of an unknown format refused", problem=str(problem))
             return False
         if not self._newer(tables.slot):
             return False
--- a/src/willowpost/node/leaver.py
+++ b/src/willowpost/node/graceful_shutdown.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Tick
+from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
 
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spans:
+class ShutdownTimeouts:
     """Time limits of a planned end, in µs.
 
     Attributes:
@@ -48,11 +48,11 @@
     leave: int
 
 
-class Leave:
+class ShutdownRequested:
     """An event: the platform wants this process to end."""
 
 
-class Leaver:
+class GracefulShutdown:
     """Moves a daemon through the stages of its end.
 
     Nothing new is refused before `spans.drain` is over. Nothing under way is given up before
@@ -60,11 +60,11 @@
     together.
     """
 
-    def __init__(self, node_state, command_client, joiner, spans: Spans | None = None):
-        self.spans = spans or Spans(DRAIN_SPAN, FINISH_SPAN, LEAVE_SPAN)
-        self.node_state, self.card, self.command_client, self.joiner = (
+    def __init__(self, node_state, command_client, joiner, spans: ShutdownTimeouts | None = None):
+        self.spans = spans or ShutdownTimeouts(DRAIN_SPAN, FINISH_SPAN, LEAVE_SPAN)
+        self.node_state, self.descriptor, self.command_client, self.joiner = (
             node_state,
-            node_state.card,
+            node_state.descriptor,
             command_client,
             joiner,
         )
@@ -80,9 +80,9 @@
         return self.stage is Stage.GONE
 
     def step(self, event, now: int) -> Plan:
-        """Begin on `Leave`; on each tick, move on if the next stage is due."""
+        """Begin on `ShutdownRequested`; on each tick, move on if the next stage is due."""
         plan = Plan()
-        if isinstance(event, Leave) and self.stage is Stage.SERVING:
+        if isinstance(event, ShutdownRequested) and self.stage is Stage.SERVING:
             self.node_state.draining = True
             self._move(Stage.DRAINING, now, plan)
             self._ask("drain", now, plan)
@@ -102,7 +102,7 @@
             self._ask("leave", now, plan)
         elif (
             self.stage is Stage.LEAVING
-            and (span >= self.spans.leave or self.card.id not in self.node_state.tables.daemons)
+            and (span >= self.spans.leave or self.descriptor.id not in self.node_state.tables.daemons)
             and (now >= self.finish_by or not self.in_flight())
         ):  # a kept connection may have brought one more
             self._move(Stage.GONE, now, plan)
@@ -110,8 +110,8 @@
     def _ask(self, op, now, plan):
         plan.join(
             self.command_client.step(
-                Asked(
-                    None, ({"op": op, "id": self.card.id, "incarnation": self.card.incarnation},)
+                SubmitOperations(
+                    None, ({"op": op, "id": self.descriptor.id, "incarnation": self.descriptor.incarnation},)
                 ),
                 now,
             )
@@ -120,4 +120,4 @@
     def _move(self, stage, now, plan):
         assert stage in NEXT[self.stage]
         self.stage, self.since = stage, now
-        plan.note("drain", stage.value, in_flight=self.in_flight())
+        plan.log("drain", stage.value, in_flight=self.in_flight())
--- a/src/willowpost/node/joiner.py
+++ b/src/willowpost/node/join.py
@@ -3,20 +3,20 @@
 from dataclasses import asdict
 
 from willowpost.common.clock import SECOND
-from willowpost.common.events import Asked, Tick
+from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
 
 JOIN_EVERY = 1 * SECOND
 
 
-class Joiner:
+class FleetJoin:
     """Joins the log, under one incarnation for the process's whole run.
 
     Whether the daemon is lost is decided by the log alone. Nothing is sent once `leaving` is set.
     """
 
     def __init__(self, card, tables, command_client):
-        self.card = card
+        self.descriptor = card
         self.tables = tables
         self.command_client = command_client
         self.asked_at = -JOIN_EVERY
@@ -31,14 +31,14 @@
         if not isinstance(event, Tick) or self.leaving or now - self.asked_at < JOIN_EVERY:
             return Plan()
         tables = self.tables()
-        held = tables.daemons.get(self.card.id)
+        held = tables.daemons.get(self.descriptor.id)
         forgotten = (
-            held is not None and held["state"] == "lost" and self.card.id not in tables.suspicions
+            held is not None and held["state"] == "lost" and self.descriptor.id not in tables.suspicions
         )
         if not tables.epoch or (
-            held is not None and held["incarnation"] == self.card.incarnation and not forgotten
+            held is not None and held["incarnation"] == self.descriptor.incarnation and not forgotten
         ):
             return Plan()
         self.asked_at = now
-        card = asdict(self.card)
-        return self.command_client.step(Asked(None, ({"op": "join", "daemon": card},)), now)
+        card = asdict(self.descriptor)
+        return self.command_client.step(SubmitOperations(None, ({"op": "join", "daemon": card},)), now)
--- a/src/willowpost/node/node_state.py
+++ b/src/willowpost/node/node_state.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Card:
+class DaemonDescriptor:
     """A daemon's description; `id` and `incarnation` together name one run of one process."""
 
     id: str
@@ -51,7 +51,7 @@
       them and TAIL_BYTES_KEPT bytes.
     """
 
-    card: Card
+    card: DaemonDescriptor
     tables: Tables = field(default_factory=Tables)
     fresh_as_of: int | None = None
     tail: tuple = ()
@@ -113,9 +113,9 @@
         ordered = sorted(
             self.tables.core,
             key=lambda member: (
-                member["name"] != self.card.name,
-                member["zone"] != self.card.zone,
-                weight(self.card.id, member["identity"]),
+                member["name"] != self.descriptor.name,
+                member["zone"] != self.descriptor.zone,
+                weight(self.descriptor.id, member["identity"]),
             ),
         )
         known = [member["address"] for member in ordered]
--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -8,7 +8,7 @@
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.follower import TOO_OLD, Follower
 from willowpost.node.node_state import NodeState
-from willowpost.wire.messages import ReadAsk, ReadTell
+from willowpost.wire.messages import QuorumReadRequest, QuorumReadResponse
 
 ASK_EVERY = 150 * MILLI
 
@@ -24,7 +24,7 @@
 
     def __init__(self, node_state: NodeState, follower: Follower):
         self.node_state, self.follower = node_state, follower
-        card = node_state.card
+        card = node_state.descriptor
         self.nonces = NonceSequence(card.id, card.incarnation, "read")
         self.reads = OpenReads()
         self.heard_at: dict[str, int] = {}  # voter -> when its last answer came
@@ -38,7 +38,7 @@
         """
         plan = Plan()
         match event:
-            case Received(source, ReadTell(nonce, identity, slot)) if identity in self._voters():
+            case Received(source, QuorumReadResponse(nonce, identity, slot)) if identity in self._voters():
                 self._note_heard(identity, now)
                 if nonce in self.reads.open:
                     self.reads.hear(nonce, identity, slot)
@@ -52,7 +52,7 @@
                 nonce, self.asked_at = self.nonces.next(), now
                 self.reads.begin(nonce, now, self.node_state.tables.epoch, {})
                 plan.sends += [
-                    (member["address"], ReadAsk(nonce)) for member in self.node_state.tables.core
+                    (member["address"], QuorumReadRequest(nonce)) for member in self.node_state.tables.core
                 ]
         self._settle()
         return plan
--- a/src/willowpost/proxy/admission/admission_tokens.py
+++ b/src/willowpost/proxy/admission/admission_tokens.py
@@ -13,7 +13,7 @@
 from willowpost.proxy.admission.quota_shares import QuotaShareOwner, in_whole_tokens
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import ServiceCard
-from willowpost.wire.messages import AdmissionTokenAsk, AdmissionTokenTell
+from willowpost.wire.messages import AdmissionTokenRequest, AdmissionTokenResponse
 
 ANSWER_WITHIN = 300 * MILLI
 
@@ -35,7 +35,7 @@
 
     def __init__(self, node_state: ProxyState):
         self.node_state = node_state
-        card = node_state.card
+        card = node_state.descriptor
         self.nonces = NonceSequence(card.id, card.incarnation, "admission_token")
         self.open: dict[int, tuple[object, int]] = {}  # nonce -> (ticket, asked at)
 
@@ -45,7 +45,7 @@
         match event:
             case AdmissionTokenWanted() as wanted:
                 self._ask(wanted, now, plan)
-            case Received(_, AdmissionTokenTell(nonce, given)) if nonce in self.open:
+            case Received(_, AdmissionTokenResponse(nonce, given)) if nonce in self.open:
                 plan.replies.append((self.open.pop(nonce)[0], given))
             case Tick():
                 for nonce in [
@@ -64,7 +64,7 @@
         self.open[nonce] = (wanted.ticket, now)
         plan.send(
             owner["address"],
-            AdmissionTokenAsk(nonce, wanted.service, held["fence"], wanted.origin),
+            AdmissionTokenRequest(nonce, wanted.service, held["fence"], wanted.origin),
         )
 
 
@@ -83,11 +83,11 @@
         """Gives tokens to those who ask; `now` is in µs."""
         plan = Plan()
         match event:
-            case Received(source, AdmissionTokenAsk(nonce, service, fence, origin)):
+            case Received(source, AdmissionTokenRequest(nonce, service, fence, origin)):
                 since = self.owner.rules_since(service, fence, now)
                 plan.send(
                     source,
-                    AdmissionTokenTell(
+                    AdmissionTokenResponse(
                         nonce, since is not None and self._take(service, fence, origin, since, now)
                     ),
                 )
--- a/src/willowpost/proxy/admission/buckets.py
+++ b/src/willowpost/proxy/admission/buckets.py
@@ -229,6 +229,6 @@
             if len(self.ranks) > 1000:
                 self.ranks.clear()
             ranked = Rendezvous().rank(f"ramp/{origin}", senders)
-            mine = self.node_state.card.id
+            mine = self.node_state.descriptor.id
             self.ranks[key] = ranked.index(mine) if mine in ranked else len(ranked)
         return self.ranks[key]
--- a/src/willowpost/proxy/admission/quota_shares.py
+++ b/src/willowpost/proxy/admission/quota_shares.py
@@ -6,7 +6,7 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Received, Tick
+from willowpost.common.events import SubmitOperations, Received, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
@@ -14,7 +14,7 @@
 from willowpost.node.node_state import LEASE
 from willowpost.proxy.proxy_state import Grant, ProxyState
 from willowpost.proxy.routing.snapshot import ServiceCard
-from willowpost.wire.messages import QuotaShareAsk, QuotaShareTell
+from willowpost.wire.messages import QuotaShareRequest, QuotaShareResponse
 
 GRANT_SPAN = 1 * SECOND
 FENCE_WAIT = LEASE + GRANT_SPAN
@@ -38,7 +38,7 @@
     """Requests a second that this proxy may send without a grant."""
     if in_whole_tokens(service) or not node_state.warmed_up(now):
         return 0.0
-    part: float = service.parts.get(node_state.card.id, 0.0)
+    part: float = service.parts.get(node_state.descriptor.id, 0.0)
     return BASE_QUOTA_PART * service.rate * part
 
 
@@ -51,7 +51,7 @@
 
     def __init__(self, node_state: ProxyState):
         self.node_state = node_state
-        card = node_state.card
+        card = node_state.descriptor
         self.nonces = NonceSequence(card.id, card.incarnation, "quota_share")
         self.asked: dict[int, tuple[str, int]] = {}  # nonce -> (service, asked at)
         self.looked_at = 0
@@ -61,7 +61,7 @@
         """Asks the owners for grants by demand and takes those that come; `now` is in µs."""
         plan = Plan()
         match event:
-            case Received(_, QuotaShareTell(nonce, service, fence, rate)) if nonce in self.asked:
+            case Received(_, QuotaShareResponse(nonce, service, fence, rate)) if nonce in self.asked:
                 asked_for, sent_at = self.asked.pop(nonce)
                 if service == asked_for and fence == self.node_state.tables.fences.get(
                     f"quota_share/{service}", {}
@@ -82,7 +82,7 @@
         }
         demand, node_state.demand = node_state.demand, {}
         for name, service in node_state.snapshot.services.items():
-            if node_state.card.id not in service.senders or in_whole_tokens(service):
+            if node_state.descriptor.id not in service.senders or in_whole_tokens(service):
                 continue
             self.smooth[name] = 0.6 * self.smooth.get(name, 0.0) + 0.4 * demand.get(name, 0) / span
             held = node_state.tables.fences.get(f"quota_share/{name}")
@@ -92,7 +92,7 @@
                 self.asked[nonce] = (name, now)
                 plan.send(
                     owner["address"],
-                    QuotaShareAsk(nonce, name, held["fence"], int(self.smooth[name] * 1000)),
+                    QuotaShareRequest(nonce, name, held["fence"], int(self.smooth[name] * 1000)),
                 )
 
 
@@ -119,7 +119,7 @@
         """Claims services without an owner and grants to those who ask; `now` is in µs."""
         plan = Plan()
         match event:
-            case Received(source, QuotaShareAsk() as ask):
+            case Received(source, QuotaShareRequest() as ask):
                 self._grant(source, ask, now, plan)
             case Tick() if now - self.looked_at >= LOOK_EVERY:
                 self.looked_at = now
@@ -133,24 +133,24 @@
         for name in node_state.snapshot.services:
             key = f"quota_share/{name}"
             held = node_state.tables.fences.get(key, {"owner": "", "fence": 0})
-            if held["owner"] == node_state.card.id:
+            if held["owner"] == node_state.descriptor.id:
                 if self.since.get(key, (0, 0))[0] != held["fence"]:
                     self.since[key] = (held["fence"], now)
                     self.granted[name], self.wanted[name] = {}, {}
             elif (
                 held["owner"] not in live
-                and node_state.card.id in live
+                and node_state.descriptor.id in live
                 and not node_state.draining
-                and Rendezvous().rank(key, live)[0] == node_state.card.id
+                and Rendezvous().rank(key, live)[0] == node_state.descriptor.id
                 and now - self.claimed_at.get(key, -CLAIM_EVERY) >= CLAIM_EVERY
             ):
                 self.claimed_at[key] = now
                 ops.append(
-                    {"op": "own", "key": key, "owner": node_state.card.id, "fence": held["fence"]}
+                    {"op": "own", "key": key, "owner": node_state.descriptor.id, "fence": held["fence"]}
                 )
         if ops:
-            plan.join(self.command_client.step(Asked(None, tuple(ops)), now))
-            plan.note("quota_shares", "claims", keys=[op["key"] for op in ops])
+            plan.join(self.command_client.step(SubmitOperations(None, tuple(ops)), now))
+            plan.log("quota_shares", "claims", keys=[op["key"] for op in ops])
 
     def rules_since(self, name: str, fence: int, now: int) -> int | None:
         """Since when this proxy may grant under this fence, in µs, or None if it may not now.
@@ -163,7 +163,7 @@
         own, since = self.since.get(key, (0, 0))
         if (
             name not in node_state.snapshot.services
-            or held["owner"] != node_state.card.id
+            or held["owner"] != node_state.descriptor.id
             or own != held["fence"]
             or fence != own
             or not node_state.ruling(now)
@@ -174,7 +174,7 @@
         ruling = since if own == 1 and key in self.claimed_at else since + FENCE_WAIT
         return ruling if now >= ruling else None
 
-    def _grant(self, source: str, ask: QuotaShareAsk, now: int, plan: Plan) -> None:
+    def _grant(self, source: str, ask: QuotaShareRequest, now: int, plan: Plan) -> None:
         fence = ask.fence
         if self.rules_since(ask.service, fence, now) is None:
             return
@@ -202,4 +202,4 @@
         )
         rate = max(0.0, min(quota_share, pool - sum(rate for rate, _ in granted.values())))
         self.granted[ask.service] = {**granted, source: (rate, now + GRANT_SPAN)}
-        plan.send(source, QuotaShareTell(ask.nonce, ask.service, fence, int(rate * 1000)))
+        plan.send(source, QuotaShareResponse(ask.nonce, ask.service, fence, int(rate * 1000)))
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -5,7 +5,7 @@
 import gevent
 
 from willowpost.common.clock import MILLI, Clock
-from willowpost.node.node_state import Card
+from willowpost.node.node_state import DaemonDescriptor
 from willowpost.proxy.admission.buckets import Allowance, Ramp
 from willowpost.proxy.admission.budget import BudgetSettings, RetryBudget
 from willowpost.proxy.caller.pacing import LinkPacer
@@ -60,11 +60,11 @@
         words: Names of the headers shared with callers and origins.
     """
 
-    def __init__(self, place, logs, words: Words = Words()):
-        self.logs = logs
-        self.runner = Runner(place.address, logs)
+    def __init__(self, place, logger, words: Words = Words()):
+        self.logger = logger
+        self.runner = Runner(place.address, logger)
         self.clock = Clock()
-        card = Card(
+        card = DaemonDescriptor(
             f"{place.name}/proxy",
             "proxy",
             place.role,
@@ -78,7 +78,7 @@
         self.node_state = self.node.node_state
         self.node_state.serve_on = place.serve_on_ms * MILLI
         stats = Counter()
-        self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logs.say)
+        self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.say)
         self.pool = ConnectionPool(self.clock)
         budget = RetryBudget(
             self.node_state.proxies,
@@ -108,7 +108,7 @@
             RequestPlanner(self.node_state, self.node.cache, self.clock, place.regions),
             carrier,
             stats,
-            logs,
+            logger,
             words,
             place.health is None,
             LinkPacer(place.link_mbps),
@@ -153,7 +153,7 @@
             {name: count for name, count in self.front.stats.items() if name.startswith("why.")}
         )
         if now != told:
-            self.logs.say(
+            self.logger.log(
                 "front",
                 "reject",
                 **{name.removeprefix("why."): count for name, count in (now - told).items()},
--- a/src/willowpost/proxy/front.py
+++ b/src/willowpost/proxy/front.py
@@ -46,7 +46,7 @@
         planner: RequestPlanner,
         carrier: Carrier,
         stats,
-        logs,
+        logger,
         words: Words = Words(),
         reserved: bool = True,
         pacer: LinkPacer | None = None,
@@ -57,7 +57,7 @@
             planner,
             carrier,
         )
-        self.stats, self.logs, self.words, self.reserved = stats, logs, words, reserved
+        self.stats, self.logger, self.words, self.reserved = stats, logger, words, reserved
         self.replies = ReplyMaker(words, stats)
         self.now = clock.now
         self.in_flight = 0
@@ -91,7 +91,7 @@
     def broke(self, problem) -> None:
         """Counts and logs a reply that was cut off after its head had been sent."""
         self.stats["cut"] += 1
-        self.logs.say("front", "answer cut off", level="warning", problem=repr(problem))
+        self.logger.log("front", "answer cut off", level="warning", problem=repr(problem))
 
     def left(self, waiting: int) -> None:
         """Counts requests whose caller has left before they were answered."""
@@ -161,7 +161,7 @@
         except Rejected as reject:
             return self.replies.rejected(reject, write, request)
         except Exception as problem:
-            self.logs.say("front", "request broke down", level="error", problem=repr(problem))
+            self.logger.log("front", "request broke down", level="error", problem=repr(problem))
             return self.replies.rejected(Rejected(500, "broke down", 1, "unknown"), write, request)
 
     def _request(self, asked, received, lifetime):
@@ -176,7 +176,7 @@
         ):
             return None
         headers = asked.headers
-        hop = self.node_state.card.role == "shield" and "wp-hop" in headers
+        hop = self.node_state.descriptor.role == "shield" and "wp-hop" in headers
         left = headers.get(self.words.left, "")
         return Request(
             asked.method,
--- a/src/willowpost/proxy/main.py
+++ b/src/willowpost/proxy/main.py
@@ -19,9 +19,9 @@
   <info>curl http://127.0.0.1:8080/.wp/health</info>"""
     needs = ("http",)
 
-    def build(self, place, logs):
+    def build(self, place, logger):
         """The daemon for these settings."""
-        return ProxyDaemon(place, logs)
+        return ProxyDaemon(place, logger)
 
 
 def main() -> None:
--- a/src/willowpost/proxy/node.py
+++ b/src/willowpost/proxy/node.py
@@ -6,11 +6,11 @@
 from willowpost.common.plan import Plan
 from willowpost.node.command_client import CommandClient
 from willowpost.node.follower import Follower
-from willowpost.node.joiner import Joiner
-from willowpost.node.leaver import Leaver
-from willowpost.node.node_state import Card
+from willowpost.node.join import FleetJoin
+from willowpost.node.graceful_shutdown import GracefulShutdown
+from willowpost.node.node_state import DaemonDescriptor
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.watch import Watch
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenOwner, AdmissionTokenTaker
 from willowpost.proxy.admission.quota_shares import QuotaShareOwner, QuotaShareTaker
 from willowpost.proxy.cache.store import BYTES_MOST, CacheStore
@@ -32,7 +32,7 @@
         regions: Zone to region; empty if regions do not matter.
     """
 
-    def __init__(self, card: Card, seeds, wall, cache_bytes: int = BYTES_MOST, regions=None):
+    def __init__(self, card: DaemonDescriptor, seeds, wall, cache_bytes: int = BYTES_MOST, regions=None):
         self.node_state = ProxyState(card)
         self.cache = CacheStore(cache_bytes)
         self.command_client = CommandClient(card.id, card.incarnation, self.node_state.cores, wall)
@@ -40,8 +40,8 @@
         def tables():
             return self.node_state.tables
 
-        self.joiner = Joiner(card, tables, self.command_client)
-        self.leaver = Leaver(self.node_state, self.command_client, self.joiner)
+        self.joiner = FleetJoin(card, tables, self.command_client)
+        self.leaver = GracefulShutdown(self.node_state, self.command_client, self.joiner)
         owner = QuotaShareOwner(self.node_state, self.command_client)
         follower = Follower(self.node_state, seeds)
         self.controllers = [
@@ -50,7 +50,7 @@
             SnapshotKeeper(self.node_state, self.cache, regions),
             Reports(self.node_state),
             self.command_client,
-            Watch(card, tables, self.command_client),
+            FailureDetector(card, tables, self.command_client),
             self.joiner,
             self.leaver,
             owner,
--- a/src/willowpost/proxy/origin/reports.py
+++ b/src/willowpost/proxy/origin/reports.py
@@ -4,7 +4,7 @@
 from willowpost.common.events import Received
 from willowpost.common.plan import Plan
 from willowpost.proxy.proxy_state import ProxyState
-from willowpost.wire.messages import Beat
+from willowpost.wire.messages import OriginHeartbeat
 
 REPORT_SPAN = 5 * SECOND
 # of the report before: one that was busy is not trusted to be idle at its first word
@@ -25,7 +25,7 @@
     def step(self, event, now: int) -> Plan:
         """Takes an origin's heartbeat, unless it is older than the last; `now` is in µs."""
         match event:
-            case Received(_, Beat() as beat) if (
+            case Received(_, OriginHeartbeat() as beat) if (
                 beat.origin in self.node_state.tables.origins
                 and beat.number >= self.numbers.get(beat.origin, 0)
             ):
--- a/src/willowpost/proxy/routing/keeper.py
+++ b/src/willowpost/proxy/routing/keeper.py
@@ -25,10 +25,10 @@
         node_state.snapshot = self.maker.make(tables)
         self._note_senders(former, now)
         if node_state.snapshot.version != before:
-            plan.note(
+            plan.log(
                 "configuration", "in force", version=node_state.snapshot.version, slot=tables.slot
             )
-        card = tables.zones.get(node_state.card.zone, {})
+        card = tables.zones.get(node_state.descriptor.zone, {})
         emptied = card.get("empty", False) and card.get("what") != "origins"
         node_state.emptied_at = (
             None
@@ -37,10 +37,10 @@
             if node_state.emptied_at is not None
             else now
         )
-        own = tables.daemons.get(node_state.card.id)
+        own = tables.daemons.get(node_state.descriptor.id)
         up = own is not None and own["state"] != "lost"
         node_state.held_seat = up and (first or node_state.held_seat)
-        counted = up and (node_state.held_seat or own["incarnation"] == node_state.card.incarnation)
+        counted = up and (node_state.held_seat or own["incarnation"] == node_state.descriptor.incarnation)
         since = now - WARMED_UP_AFTER if node_state.held_seat else now
         node_state.joined_at = (
             None
@@ -67,7 +67,7 @@
         A service that is new here, or whose first snapshot this is, had no other senders whose use
         of its rate this one would not know.
         """
-        node_state, own = self.node_state, self.node_state.card.id
+        node_state, own = self.node_state, self.node_state.descriptor.id
         held = node_state.sender_since
         node_state.sender_since = {
             name: held.get(name, now if name in former.services else None)
--- a/src/willowpost/proxy/routing/planner.py
+++ b/src/willowpost/proxy/routing/planner.py
@@ -33,7 +33,7 @@
         self.cache = cache
         self.clock = clock
         self.services = ServicePicker()
-        self.shields = ShieldChooser(node_state.card.zone, self.regions)
+        self.shields = ShieldChooser(node_state.descriptor.zone, self.regions)
 
     def plan(self, request: Request):
         """A RejectPlan, WritePlan, CachePlan or FetchPlan for the request."""
@@ -61,7 +61,7 @@
             and kind == KEPT
             and request.method == "GET"
             and ("range" not in request.headers or part is not None)
-            and route.keeps_in(self.regions.get(self.node_state.card.zone))
+            and route.keeps_in(self.regions.get(self.node_state.descriptor.zone))
         )
         cacheable = kind == KEPT and route.cache and (whole or "range" not in request.headers)
         entry = (
@@ -91,7 +91,7 @@
         return RejectPlan(503, "the routes known here may be old", DENIED_AGAIN_AFTER)
 
     def _shields(self, request, route, now):
-        if request.hop or self.node_state.card.role != "edge" or not goes_through_shields(route):
+        if request.hop or self.node_state.descriptor.role != "edge" or not goes_through_shields(route):
             return ()
         return self.shields.choose(
             f"{request.host}{request.target}",
--- a/src/willowpost/proxy/routing/settling.py
+++ b/src/willowpost/proxy/routing/settling.py
@@ -122,7 +122,7 @@
         return {name: value for name, value in request.headers.items() if name != "range"}
 
     def _storing(self, request, plan, answer):
-        region = self.tries.regions.get(self.tries.node_state.card.zone)
+        region = self.tries.regions.get(self.tries.node_state.descriptor.zone)
         if (
             not plan.cacheable
             or request.method != "GET"
--- a/src/willowpost/proxy/routing/snapshot.py
+++ b/src/willowpost/proxy/routing/snapshot.py
@@ -14,10 +14,10 @@
     goes_through_shields,
     only_through_shields,
 )
-from willowpost.state.kinds import IN_FORCE
+from willowpost.state.lifecycle import STATES_IN_FORCE
 from willowpost.state.tables import Tables
 
-FORCE = {state.value for state in IN_FORCE}
+FORCE = {state.value for state in STATES_IN_FORCE}
 ORIGINS_ONLY = MappingProxyType({"what": "origins"})  # of a zone whose daemons serve on
 NO_ALLOWANCE = 1e7  # requests a second: more than any fleet of ours sends
 
--- a/src/willowpost/proxy/routing/tries.py
+++ b/src/willowpost/proxy/routing/tries.py
@@ -87,7 +87,7 @@
             CallerGone: Nobody waits for the response any more.
         """
         headers = toward(
-            request, address, self.node_state.card.id, plan.slot, plan.entry, trace.pressed
+            request, address, self.node_state.descriptor.id, plan.slot, plan.entry, trace.pressed
         )
         headers = self._for_shield(request, headers, deadline)
         begun = self.clock.now()
--- a/src/willowpost/registry/calls/configurations.py
+++ b/src/willowpost/registry/calls/configurations.py
@@ -22,7 +22,7 @@
 from willowpost.shell.settings import findings_of
 from willowpost.shell.web import Answer, Call
 from willowpost.state.configuration_changes import (
-    VERSION_MOST,
+    MAX_VERSION,
     ConfigurationProposal,
     content_digest,
 )
@@ -39,7 +39,7 @@
     `configuration` is checked by the `ConfigurationChecker` alone, as in all other calls.
     """
 
-    version: Annotated[int, Field(strict=True, ge=0, le=VERSION_MOST)]
+    version: Annotated[int, Field(strict=True, ge=0, le=MAX_VERSION)]
     configuration: object
     source: str | None = None
 
--- a/src/willowpost/registry/calls/control_api.py
+++ b/src/willowpost/registry/calls/control_api.py
@@ -11,7 +11,7 @@
 
 from willowpost.common.clock import SECOND
 from willowpost.shell.web import Answer, Call, reject
-from willowpost.state.kinds import SUPERSEDED
+from willowpost.state.lifecycle import SUPERSEDED
 from willowpost.state.tables import Tables
 
 # Within these an answer is on its way before the caller has waited for a second.
--- a/src/willowpost/registry/calls/origins.py
+++ b/src/willowpost/registry/calls/origins.py
@@ -6,15 +6,15 @@
 
 from willowpost.common.clock import MILLI
 from willowpost.configuration.model import Name
-from willowpost.registry.beats import Heard
+from willowpost.registry.origin_health import HeartbeatReceived
 from willowpost.registry.calls.body import Strict, parsed
 from willowpost.registry.calls.control_api import ControlApi, as_of_slot, out_of_touch, unread
-from willowpost.registry.origins import origin_at, same_incarnation
+from willowpost.registry.origin_lookup import origin_at, same_incarnation
 from willowpost.shell.settings import Address
 from willowpost.shell.web import Answer, Call
 from willowpost.state.apply.origins import OVER, named
-from willowpost.state.kinds import OriginState
-from willowpost.wire.messages import Beat
+from willowpost.state.lifecycle import OriginState
+from willowpost.wire.messages import OriginHeartbeat
 
 SMALL = 64 * 1024
 DRAINING, GONE = OriginState.DRAINING.value, OriginState.GONE.value
@@ -157,8 +157,8 @@
 
     def _heard(self, name: str, state: str, origin: OriginCall) -> Answer:
         cold = None if origin.cold_ms is None else int(origin.cold_ms * MILLI)
-        beat = Beat(name, origin.load, cold or 0, origin.slots or 0, origin.number)
-        self.control_api.runner.inbox.put(Heard(beat, cold is not None))
+        beat = OriginHeartbeat(name, origin.load, cold or 0, origin.slots or 0, origin.number)
+        self.control_api.runner.inbox.put(HeartbeatReceived(beat, cold is not None))
         # That it drains is in the log: so much is true whatever has happened since.
         if state != DRAINING and not self.control_api.in_touch():
             return out_of_touch()
--- a/src/willowpost/registry/calls/preconditions.py
+++ b/src/willowpost/registry/calls/preconditions.py
@@ -8,7 +8,7 @@
 
 from willowpost.registry.calls.body import unfit
 from willowpost.shell.web import Answer
-from willowpost.state.configuration_changes import VERSION_MOST, digest_of
+from willowpost.state.configuration_changes import MAX_VERSION, digest_of
 
 VERSION_TAG = re.compile(r'("?)([0-9]{1,19})\1')
 KEY = re.compile(r"[ -~]{1,256}")
@@ -32,7 +32,7 @@
         """Read the headers (names in lower case); an error is the answer to the call."""
         match = headers.get("if-match", ANY).strip()
         tag = VERSION_TAG.fullmatch(match)
-        if match != ANY and (tag is None or int(tag[2]) > VERSION_MOST):
+        if match != ANY and (tag is None or int(tag[2]) > MAX_VERSION):
             return Err(
                 Answer(400, {"findings": [{"place": "If-Match", "finding": "not a version"}]})
             )
--- a/src/willowpost/registry/daemon.py
+++ b/src/willowpost/registry/daemon.py
@@ -3,7 +3,7 @@
 import gevent
 
 from willowpost.common.clock import Clock
-from willowpost.node.node_state import Card
+from willowpost.node.node_state import DaemonDescriptor
 from willowpost.registry.front import Front
 from willowpost.registry.node import RegistryNode
 from willowpost.shell.probe import probe_status
@@ -43,15 +43,15 @@
     """A registry with its server.
 
     Args:
-        place: the checked settings (a `Place`).
+        place: the checked settings (a `ProcessSettings`).
         logs: where the process logs.
         routes: makes the routes of a `Front`; another entry point may put its own before them.
     """
 
-    def __init__(self, place, logs, routes=Front.routes):
-        self.runner = Runner(place.address, logs)
+    def __init__(self, place, logger, routes=Front.routes):
+        self.runner = Runner(place.address, logger)
         clock = Clock()
-        card = Card(
+        card = DaemonDescriptor(
             f"{place.name}/registry",
             "registry",
             "core",
@@ -63,7 +63,7 @@
         )
         self.node = RegistryNode(card, place.seeds, clock.wall, Prober(self.runner).probe)
         router = Router(
-            routes(Front(self.runner, logs)), logs, lambda: self.node.node_state.draining
+            routes(Front(self.runner, logger)), logger, lambda: self.node.node_state.draining
         )
         self.node.leaver.spans = place.spans()
         self.node.leaver.in_flight = lambda: router.in_flight
@@ -75,5 +75,5 @@
         self.web.start()
 
     def stop(self) -> None:
-        """End as planned (`node/leaver.py`); returns when the process may end."""
+        """End as planned (`node/graceful_shutdown.py`); returns when the process may end."""
         self.runner.leave(self.web.server.close)
--- a/src/willowpost/registry/front.py
+++ b/src/willowpost/registry/front.py
@@ -10,9 +10,9 @@
 class Front:
     """Joins the groups of calls; each is a class, and all share one `ControlApi`."""
 
-    def __init__(self, runner, logs):
+    def __init__(self, runner, logger):
         self.runner = runner
-        self.logs = logs
+        self.logger = logger
         control_api = ControlApi(runner)
         self.calls = (
             OriginCalls(control_api),
--- a/src/willowpost/registry/main.py
+++ b/src/willowpost/registry/main.py
@@ -21,9 +21,9 @@
   <info>curl http://127.0.0.1:8101/v1/status</info>"""
     needs = ("http",)
 
-    def build(self, place, logs):
-        """Make the daemon of checked settings (a `Place`)."""
-        return RegistryDaemon(place, logs)
+    def build(self, place, logger):
+        """Make the daemon of checked settings (a `ProcessSettings`)."""
+        return RegistryDaemon(place, logger)
 
 
 def main() -> None:
--- a/src/willowpost/registry/node.py
+++ b/src/willowpost/registry/node.py
@@ -3,35 +3,35 @@
 from willowpost.common.plan import Plan
 from willowpost.node.command_client import CommandClient
 from willowpost.node.follower import Follower
-from willowpost.node.joiner import Joiner
-from willowpost.node.leaver import Leaver
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.join import FleetJoin
+from willowpost.node.graceful_shutdown import GracefulShutdown
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.watch import Watch
-from willowpost.registry.beats import Beats
+from willowpost.node.failure_detector import FailureDetector
+from willowpost.registry.origin_health import OriginHealthMonitor
 
 
 class RegistryNode:
     """A registry without input or output; its state changes only in step()."""
 
-    def __init__(self, card: Card, seeds, wall, probe):
+    def __init__(self, card: DaemonDescriptor, seeds, wall, probe):
         self.node_state = NodeState(card)
         self.command_client = CommandClient(card.id, card.incarnation, self.node_state.cores, wall)
 
         def tables():
             return self.node_state.tables
 
-        self.joiner = Joiner(card, tables, self.command_client)
-        self.leaver = Leaver(self.node_state, self.command_client, self.joiner)
+        self.joiner = FleetJoin(card, tables, self.command_client)
+        self.leaver = GracefulShutdown(self.node_state, self.command_client, self.joiner)
         follower = Follower(self.node_state, seeds, tree=False)
         self.controllers = [
             follower,
             QuorumRead(self.node_state, follower),
             self.command_client,
-            Watch(card, tables, self.command_client),
+            FailureDetector(card, tables, self.command_client),
             self.joiner,
             self.leaver,
-            Beats(self.node_state, self.command_client, probe),
+            OriginHealthMonitor(self.node_state, self.command_client, probe),
         ]
 
     def step(self, event, now: int) -> Plan:
--- a/src/willowpost/registry/beats.py
+++ b/src/willowpost/registry/origin_health.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Received, Tick
+from willowpost.common.events import SubmitOperations, Received, Tick
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
-from willowpost.wire.messages import Beat
+from willowpost.wire.messages import OriginHeartbeat
 
 LOOK_EVERY = 100 * MILLI
 ENTER_AFTER = 2_500 * MILLI  # longer than any lease plus the grace of a request under way
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class HeartbeatReceived:
     """A heartbeat that an origin sent to this very registry.
 
     Attributes:
@@ -30,11 +30,11 @@
         told: whether it says if the origin is cold.
     """
 
-    beat: Beat
+    beat: OriginHeartbeat
     told: bool = False
 
 
-class Beats:
+class OriginHealthMonitor:
     """Passes heartbeats on and proposes changes of the origins' states to the log.
 
     Only the origin's owner among the live registries proposes for it, except that what a heartbeat
@@ -64,17 +64,17 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event.
 
-        `Beat` comes from another registry, `Heard` or `("beat", origin, load)` from an origin,
+        `OriginHeartbeat` comes from another registry, `HeartbeatReceived` or `("beat", origin, load)` from an origin,
         `("probed", origin, sound)` from a probe. On a tick, at most each LOOK_EVERY, the origins
         that this registry owns are checked.
         """
         plan = Plan()
         match event:
-            case Received(_, Beat() as beat) if not self._late(beat):
+            case Received(_, OriginHeartbeat() as beat) if not self._late(beat):
                 self._hear(beat, now)
             case ("beat", origin, load):
-                self._take(Heard(Beat(origin, load)), now, plan)
-            case Heard(beat) if not self._late(beat):
+                self._take(HeartbeatReceived(OriginHeartbeat(origin, load)), now, plan)
+            case HeartbeatReceived(beat) if not self._late(beat):
                 self._take(event, now, plan)
             case ("probed", origin, sound):
                 self.failed[origin] = 0 if sound else self.failed.get(origin, 0) + 1
@@ -109,7 +109,7 @@
             card["address"]
             for kind in ("registry", "proxy")
             for name, card in self.node_state.live(kind).items()
-            if name != self.node_state.card.id
+            if name != self.node_state.descriptor.id
         ]
 
     def _fences(self, beat):
@@ -154,11 +154,11 @@
         return now
 
     def _owned(self, origin, live):
-        return Rendezvous().rank(f"origin/{origin}", live)[0] == self.node_state.card.id
+        return Rendezvous().rank(f"origin/{origin}", live)[0] == self.node_state.descriptor.id
 
     def _informed(self, live, now):
         """Whether the other registries pass heartbeats on to this one, as far as it knows."""
-        return self.node_state.in_touch(now) and self.node_state.card.id in live
+        return self.node_state.in_touch(now) and self.node_state.descriptor.id in live
 
     def _care(self, origin, card, since, service, now, plan):
         silent = int(service.get("silent_seconds", 6.0) * SECOND)
@@ -167,7 +167,7 @@
             self.probed_at[origin] = now
             self.probe(origin, card["address"], service.get("health_check_path"))
         if quiet > silent or (quiet > silent // 2 and self.failed.get(origin, 0) >= PROBES_FAILED):
-            self._turn(origin, "gone", now, plan, silent=True, by=self.node_state.card.id)
+            self._turn(origin, "gone", now, plan, silent=True, by=self.node_state.descriptor.id)
         elif card["state"] == "waiting" and now - since > ENTER_AFTER:
             self._turn(origin, "cold", now, plan)
         elif (
@@ -184,5 +184,5 @@
 
     def _propose(self, origin, state, now, plan, **more):
         op = {"op": "turn", "origin": origin, "state": state, **more}
-        plan.join(self.command_client.step(Asked(None, (op,), PROPOSAL_LIFETIME), now))
-        plan.note("origins", "proposes a turn", origin=origin, state=state)
+        plan.join(self.command_client.step(SubmitOperations(None, (op,), PROPOSAL_LIFETIME), now))
+        plan.log("origins", "proposes a turn", origin=origin, state=state)
--- a/src/willowpost/registry/removal.py
+++ b/src/willowpost/registry/removal.py
@@ -2,8 +2,8 @@
 
 from dataclasses import asdict, dataclass
 
-from willowpost.state.apply.core import is_settled
-from willowpost.state.kinds import DaemonState
+from willowpost.state.apply.voters import is_settled
+from willowpost.state.lifecycle import DaemonState
 from willowpost.state.tables import Tables
 
 
--- a/src/willowpost/registry/status.py
+++ b/src/willowpost/registry/status.py
@@ -27,7 +27,7 @@
         tables = node_state.tables
         age = node_state.age(now)
         return {
-            "registry": node_state.card.id,
+            "registry": node_state.descriptor.id,
             "age_ms": None if age is None else age // 1000,
             "slot": tables.slot,
             "epoch": tables.epoch,
--- a/src/willowpost/shell/parsing.py
+++ b/src/willowpost/shell/parsing.py
@@ -7,7 +7,7 @@
 from importlib.machinery import ModuleSpec, PathFinder
 from importlib.util import module_from_spec
 
-from willowpost.common.lean import without
+from willowpost.common.import_guard import without
 
 NAME = "geventhttpclient._parser"
 
--- a/src/willowpost/shell/place.py
+++ b/src/willowpost/shell/process_settings.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, field
 
 from willowpost.common.clock import MILLI
-from willowpost.consensus.replica.replica_state import Pace
-from willowpost.node.leaver import Spans
-from willowpost.store.leaver import LeaveSpans
+from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.node.graceful_shutdown import ShutdownTimeouts
+from willowpost.store.graceful_shutdown import StoreShutdownTimeouts
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ProcessSettings:
     """The settings of one process.
 
     They are made from checked settings (shell/settings.py) or by another entry point. Spans with
@@ -43,17 +43,17 @@
     extra_part: float = 0.2
     extra_slack: float = 60  # and these
     extra_window_ms: int = 10_000  # in any such span
-    pace: Pace = field(default_factory=Pace)
+    pace: ReplicaTuning = field(default_factory=ReplicaTuning)
     level: str = "INFO"
 
-    def spans(self) -> Spans:
+    def spans(self) -> ShutdownTimeouts:
         """The spans of a planned end, in µs."""
-        return Spans(self.drain_ms * MILLI, self.finish_ms * MILLI, self.leave_ms * MILLI)
+        return ShutdownTimeouts(self.drain_ms * MILLI, self.finish_ms * MILLI, self.leave_ms * MILLI)
 
-    def store_spans(self) -> LeaveSpans:
+    def store_spans(self) -> StoreShutdownTimeouts:
         """A store's spans, in µs.
 
         A hand-over may take the whole planned end, a restart only its last part.
         """
         whole = self.drain_ms + self.finish_ms + self.leave_ms
-        return LeaveSpans(whole * MILLI, self.leave_ms * MILLI)
+        return StoreShutdownTimeouts(whole * MILLI, self.leave_ms * MILLI)
--- a/src/willowpost/shell/program.py
+++ b/src/willowpost/shell/program.py
@@ -8,7 +8,7 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from willowpost.shell.logs import Logs
+from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.reload import SettingsReload
 from willowpost.shell.serving import serve
 from willowpost.shell.settings import DaemonSettings, SettingsReader
@@ -51,16 +51,16 @@
         if self.option("check"):
             self.line("settings are sound")
             return 0
-        logs = Logs(self.name, settings.name, settings.level)
-        reload = SettingsReload(self.option("settings"), flags, self.needs, settings, logs)
+        logger = StructuredLogger(self.name, settings.name, settings.level)
+        reload = SettingsReload(self.option("settings"), flags, self.needs, settings, logger)
         serve(
-            self.build(settings.place(), logs),
-            logs,
+            self.build(settings.place(), logger),
+            logger,
             lambda: reload.step().map(DaemonSettings.place).unwrap_or(None),
         )
         return 0
 
-    def build(self, place, logs):
+    def build(self, place, logger):
         """The daemon of this command, for checked settings."""
         raise NotImplementedError
 
--- a/src/willowpost/shell/reload.py
+++ b/src/willowpost/shell/reload.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok, Result
 
-from willowpost.shell.logs import Logs
+from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.settings import DaemonSettings, SettingsReader
 
 LIVE = ("seeds", "level", "pace")
@@ -25,15 +25,15 @@
         flags: dict[str, Any],
         needs: tuple[str, ...],
         held: DaemonSettings,
-        logs: Logs,
+        logger: StructuredLogger,
     ):
-        self.path, self.flags, self.needs, self.held, self.logs = path, flags, needs, held, logs
+        self.path, self.flags, self.needs, self.held, self.logger = path, flags, needs, held, logger
 
     def step(self) -> Result[DaemonSettings, list[dict[str, str]]]:
         """Reads the settings; returns those now in use, or the findings."""
         read = SettingsReader().read(self.path, self.flags, self.needs)
         if read.is_err():
-            self.logs.say(
+            self.logger.log(
                 "settings", "wrong, the old ones stay", level="error", findings=read.unwrap_err()
             )
             return Err(read.unwrap_err())
@@ -45,7 +45,7 @@
         ]
         live = [name for name in changed if name in LIVE]
         self.held = self.held.model_copy(update={name: getattr(wanted, name) for name in live})
-        self.logs.say(
+        self.logger.log(
             "settings",
             "read again",
             changed=live,
--- a/src/willowpost/shell/patient_disk.py
+++ b/src/willowpost/shell/retrying_disk.py
@@ -10,7 +10,7 @@
 RETRIES_PER_LOG_LINE = 40
 
 
-class PatientDisk:
+class RetryingDisk:
     """Writes to a disk and retries while space or file handles are missing.
 
     A call returns only when its records are written and synced; its process sends nothing
@@ -22,8 +22,8 @@
         wait: Sleeps for so many seconds.
     """
 
-    def __init__(self, disk, logs, wait=gevent.sleep):
-        self.disk, self.logs, self.wait = disk, logs, wait
+    def __init__(self, disk, logger, wait=gevent.sleep):
+        self.disk, self.logger, self.wait = disk, logger, wait
 
     def append(self, records: list[dict]) -> None:
         """Appends records to the newest segment.
@@ -55,7 +55,7 @@
                 self.wait(RETRY_SECONDS)
 
     def _say(self, problem):
-        self.logs.say(
+        self.logger.log(
             "disk",
             "cannot write; this store says nothing until it can",
             level="error",
--- a/src/willowpost/shell/runner.py
+++ b/src/willowpost/shell/runner.py
@@ -7,8 +7,8 @@
 from gevent.queue import Empty
 
 from willowpost.common.clock import Clock
-from willowpost.common.events import Asked, Tick, Withdrawn
-from willowpost.node.leaver import Leave, Stage
+from willowpost.common.events import SubmitOperations, Tick, WithdrawSubmission
+from willowpost.node.graceful_shutdown import ShutdownRequested, Stage
 from willowpost.shell.mesh import Mesh
 from willowpost.shell.sized_queue import inbox
 
@@ -29,11 +29,11 @@
         die: Ends the process with an exit code.
     """
 
-    def __init__(self, address: str, logs, disk=None, die=os._exit):
+    def __init__(self, address: str, logger, disk=None, die=os._exit):
         self.die = die
         self.inbox = inbox()
         self.mesh = Mesh(address, self.inbox)
-        self.logs = logs
+        self.logger = logger
         self.disk = disk
         self.clock = Clock()
         self.node = None
@@ -49,19 +49,19 @@
         self.task.link_exception(self._broke)
 
     def _broke(self, task):
-        self.logs.say("program", "broke down", level="critical", problem=repr(task.exception))
+        self.logger.log("program", "broke down", level="critical", problem=repr(task.exception))
         self.die(BROKE_DOWN)
 
     def ask(self, *ops, timeout: float = 2.0):
         """Submits operations to the log; their outcome, or None after `timeout` seconds."""
-        return self.want(lambda token: Asked(token, ops), timeout)
+        return self.want(lambda token: SubmitOperations(token, ops), timeout)
 
     def want(self, make, timeout: float):
         """Gives the node an event with a new token and waits for the reply.
 
         Args:
             make: Makes the event from the token.
-            timeout: Seconds to wait; the node then gets a `Withdrawn` event.
+            timeout: Seconds to wait; the node then gets a `WithdrawSubmission` event.
 
         Returns:
             The reply, or None on timeout.
@@ -77,7 +77,7 @@
         finally:
             self.waiters.pop(token, None)
             if not waiter.ready():
-                self.inbox.put(Withdrawn(token))
+                self.inbox.put(WithdrawSubmission(token))
 
     def leave(self, close) -> None:
         """Leaves the fleet in a planned way; returns when the process may end.
@@ -85,7 +85,7 @@
         Args:
             close: Called when the process should take nothing new.
         """
-        self.inbox.put(Leave())
+        self.inbox.put(ShutdownRequested())
         for reached, then in ((Stage.FINISHING, close), (Stage.GONE, lambda: None)):
             while STAGES.index(self.node.leaver.stage) < STAGES.index(reached):
                 gevent.sleep(TICK_SECONDS)
@@ -118,4 +118,4 @@
             if waiter is not None:
                 waiter.set(result)
         for part, sentence, more in plan.notes:
-            self.logs.say(part, sentence, **more)
+            self.logger.log(part, sentence, **more)
--- a/src/willowpost/shell/segment_format.py
+++ b/src/willowpost/shell/segment_format.py
@@ -8,13 +8,13 @@
 import zlib
 from collections.abc import Iterator
 
-from willowpost.common.formats import UnknownFormat
+from willowpost.common.formats import UnknownFormatError
 
 SEGMENT_FORMAT = 2
 CHECKSUM_DIGITS = 8
 
 
-class DiskDamaged(Exception):
+class DiskDamagedError(Exception):
     """Records after a bad one, or no header: more than a torn tail.
 
     The disk cannot be trusted; its identity is lost.
@@ -63,7 +63,7 @@
         records += batch
         start = end + 1
     if any(_body(line) is not None for line in data[start:].split(b"\n")[1:]):
-        raise DiskDamaged(f"a bad record at byte {start}, sound ones behind it")
+        raise DiskDamagedError(f"a bad record at byte {start}, sound ones behind it")
     return records, start
 
 
@@ -71,10 +71,10 @@
     end = data.find(b"\n")
     body = _body(data[:end]) if end >= 0 else None
     if body is None:
-        raise DiskDamaged("no sound header")
+        raise DiskDamagedError("no sound header")
     found = body.get("format") if isinstance(body, dict) else None
     if found != SEGMENT_FORMAT:
-        raise UnknownFormat("segment", found, SEGMENT_FORMAT)
+        raise UnknownFormatError("segment", found, SEGMENT_FORMAT)
     return end + 1
 
 
--- a/src/willowpost/shell/serving.py
+++ b/src/willowpost/shell/serving.py
@@ -7,12 +7,12 @@
 import gevent
 from gevent.event import Event
 
-from willowpost.common.events import Changed
-from willowpost.shell.logs import Logs
-from willowpost.shell.place import Place
+from willowpost.common.events import SettingsChanged
+from willowpost.shell.structured_log import StructuredLogger
+from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.runner import Runner
 
-Reload = Callable[[], Place | None]
+Reload = Callable[[], ProcessSettings | None]
 
 
 class Daemon(Protocol):
@@ -27,7 +27,7 @@
         """End as planned; returns when all is finished."""
 
 
-def serve(daemon: Daemon, logs: Logs, reload: Reload = lambda: None) -> None:
+def serve(daemon: Daemon, logger: StructuredLogger, reload: Reload = lambda: None) -> None:
     """reload() gives the Place to go on with, or None when the old one stays.
 
     Returns when the daemon has ended as planned.
@@ -35,15 +35,15 @@
     stopped = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, stopped.set)
-    gevent.signal_handler(signal.SIGHUP, lambda: _heed(reload(), daemon, logs))
+    gevent.signal_handler(signal.SIGHUP, lambda: _heed(reload(), daemon, logger))
     daemon.start()
-    logs.say("program", "started", address=daemon.runner.mesh.address)
+    logger.log("program", "started", address=daemon.runner.mesh.address)
     stopped.wait()
     daemon.stop()
-    logs.say("program", "stopped")
+    logger.log("program", "stopped")
 
 
-def _heed(place: Place | None, daemon: Daemon, logs: Logs) -> None:
+def _heed(place: ProcessSettings | None, daemon: Daemon, logger: StructuredLogger) -> None:
     if place is not None:
-        logs.heed(place.level)
-        daemon.runner.inbox.put(Changed(tuple(place.seeds), place.pace))
+        logger.set_level(place.level)
+        daemon.runner.inbox.put(SettingsChanged(tuple(place.seeds), place.pace))
--- a/src/willowpost/shell/settings.py
+++ b/src/willowpost/shell/settings.py
@@ -11,8 +11,8 @@
 from result import Err, Ok, Result
 
 from willowpost.common.clock import MILLI
-from willowpost.consensus.replica.replica_state import Pace
-from willowpost.shell.place import Place
+from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.shell.process_settings import ProcessSettings
 
 Address = Annotated[str, Field(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
@@ -31,9 +31,9 @@
     keep: int = Field(512, ge=16)
     rotate: int = Field(2048, ge=16)
 
-    def micros(self) -> Pace:
+    def micros(self) -> ReplicaTuning:
         """The timing in µs, as the replica takes it."""
-        return Pace(
+        return ReplicaTuning(
             **{
                 name: value * (1 if name in ("keep", "rotate") else MILLI)
                 for name, value in self.model_dump().items()
@@ -87,10 +87,10 @@
             raise ValueError("an even count of voters bears no more than the odd one below it")
         return value
 
-    def place(self) -> Place:
+    def place(self) -> ProcessSettings:
         """The settings as plain data."""
         held = {name: getattr(self, name) for name in type(self).model_fields}
-        return Place(**{**held, "seeds": tuple(self.seeds), "pace": self.pace.micros()})
+        return ProcessSettings(**{**held, "seeds": tuple(self.seeds), "pace": self.pace.micros()})
 
 
 def findings_of(error: ValidationError) -> list[dict]:
--- a/src/willowpost/shell/logs.py
+++ b/src/willowpost/shell/structured_log.py
@@ -7,7 +7,7 @@
 from pythonjsonlogger.json import JsonFormatter
 
 
-class Logs:
+class StructuredLogger:
     """A logger; every line is a JSON object with time, program, name and message."""
 
     def __init__(self, program: str, name: str, level: str = "INFO", stream: TextIO | None = None):
--- a/src/willowpost/shell/web.py
+++ b/src/willowpost/shell/web.py
@@ -6,7 +6,7 @@
 from gevent import socket
 from gevent.pool import Pool
 
-from willowpost.common.lean import without
+from willowpost.common.import_guard import without
 from willowpost.shell.mesh import split
 
 # http.client takes it if it is there; nothing here speaks TLS, and it costs 4 MB
@@ -114,14 +114,14 @@
         closing: Whether connections should be closed after the response.
     """
 
-    def __init__(self, routes, logs, closing=lambda: False):
+    def __init__(self, routes, logger, closing=lambda: False):
         self.in_flight = 0
         self.closing = closing  # () -> whether connections should not be kept
         self.routes = tuple(
             (method, tuple(path.strip("/").split("/")), most, handler)
             for method, path, most, handler in routes
         )
-        self.logs = logs
+        self.logger = logger
 
     def __call__(self, environ, start_response):
         """Answer one call (WSGI)."""
@@ -132,7 +132,7 @@
         except (EOFError, ValueError, OSError):
             answer = Answer(400, {"findings": [{"place": "/", "finding": "malformed request"}]})
         except Exception as problem:  # a bug must not look like a success, nor hold the caller
-            self.logs.say("web", "call broke down", level="error", problem=repr(problem))
+            self.logger.log("web", "call broke down", level="error", problem=repr(problem))
             answer = reject(500, "broke down")
         body = b"" if answer.value is None else json.dumps(answer.value).encode() + b"\n"
         start_response(
--- a/src/willowpost/sim/core.py
+++ b/src/willowpost/sim/core.py
@@ -2,10 +2,10 @@
 
 from dataclasses import replace
 
-from willowpost.common.events import Asked
-from willowpost.consensus.replica.bootstrap import Rights
+from willowpost.common.events import SubmitOperations
+from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.consensus.replica.records import identity_record
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.command_client import CommandClient
 from willowpost.sim.rules import CoreRules
@@ -54,12 +54,12 @@
         seed,
         weather=None,
         unsafe_send=False,
-        pace=Pace(),
+        pace=ReplicaTuning(),
         thresholds=Thresholds,
         zones=ZONES,
         regions=None,
         members=None,
-        rights=Rights(),
+        rights=VoterPolicy(),
     ):
         super().__init__(seed, weather, unsafe_send)
         self.members, self.rights = members or len(zones), rights
@@ -127,7 +127,7 @@
     def ask(self, caller, *ops):
         """Submits operations through a client; returns the token of the reply."""
         self.asked += 1
-        self.give(caller, Asked(self.asked, ops))
+        self.give(caller, SubmitOperations(self.asked, ops))
         return self.asked
 
     def node_states(self):
--- a/src/willowpost/sim/fault_schedules.py
+++ b/src/willowpost/sim/fault_schedules.py
@@ -1,6 +1,6 @@
 """Seeded fault schedules over a simulated core: crashes, torn writes, partitions, clock jumps."""
 
-from willowpost.consensus.replica.bootstrap import Rights
+from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import Weather, seconds
 
@@ -119,7 +119,7 @@
             seed,
             zones=zones,
             members=3,
-            rights=Rights(bootstrap_from_seeds=True, max_voters=max_voters),
+            rights=VoterPolicy(bootstrap_from_seeds=True, max_voters=max_voters),
             **world,
         )
         self.core: tuple = (0, ())  # (epoch, members) as far as anybody has got
--- a/src/willowpost/sim/fleet/faults/bounded.py
+++ b/src/willowpost/sim/fleet/faults/bounded.py
@@ -1,7 +1,7 @@
 """Kinds of faults that a deployment at its peak load must bear, one at a time."""
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Changed
+from willowpost.common.events import SettingsChanged
 from willowpost.sim.fleet.faults.disks import SLOW_TIMES
 from willowpost.sim.world import seconds
 
@@ -159,7 +159,7 @@
         """Every process is told other seeds while it runs."""
         self.world.seed_names = self.world.chance.sample(self.world.registries, 3)
         for name in (*self.world.names, *self.world.registries, *self.world.edges):
-            self.world.give(name, Changed(tuple(self.world.seed_names)))
+            self.world.give(name, SettingsChanged(tuple(self.world.seed_names)))
         return False
 
     def spot_removal(self):
--- a/src/willowpost/sim/fleet/faults/network.py
+++ b/src/willowpost/sim/fleet/faults/network.py
@@ -1,6 +1,6 @@
 """Faults of the network: partitions of all shapes, losses, resets; and changes of the seeds."""
 
-from willowpost.common.events import Changed
+from willowpost.common.events import SettingsChanged
 from willowpost.sim.fleet.faults.base import FaultSteps
 
 
@@ -115,4 +115,4 @@
         seeds = tuple(self.world.seed_names or self.world.registries[:3])
         for name in self._up([*self._core(), *self.world.edges]):
             if self.world.chance.random() < 0.5:
-                self.world.give(name, Changed(seeds))
+                self.world.give(name, SettingsChanged(seeds))
--- a/src/willowpost/sim/fleet/nodes.py
+++ b/src/willowpost/sim/fleet/nodes.py
@@ -5,10 +5,10 @@
 from greenlet import greenlet
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Received
+from willowpost.common.events import SubmitOperations, Received
 from willowpost.common.plan import Plan
-from willowpost.node.leaver import Stage
-from willowpost.node.node_state import Card
+from willowpost.node.graceful_shutdown import Stage
+from willowpost.node.node_state import DaemonDescriptor
 from willowpost.proxy.admission.buckets import Allowance, Ramp
 from willowpost.proxy.admission.budget import RetryBudget
 from willowpost.proxy.node import ProxyNode
@@ -19,7 +19,7 @@
 from willowpost.proxy.routing.request import Request, WritePlan
 from willowpost.proxy.routing.tries import Tries
 from willowpost.registry.node import RegistryNode
-from willowpost.registry.origins import same_incarnation
+from willowpost.registry.origin_lookup import same_incarnation
 from willowpost.sim.fleet.fault_injector import SimClock, SimFaultInjector
 from willowpost.sim.fleet.messages import SimAnswer, SimBeat, SimCall, SimRequest
 
@@ -30,7 +30,7 @@
     Only time, network and sockets are simulated.
     """
 
-    def __init__(self, world, seat, card: Card, seeds, wall):
+    def __init__(self, world, seat, card: DaemonDescriptor, seeds, wall):
         self.world, self.seat = world, seat
         self.node = ProxyNode(card, seeds, wall)
         self.proxy = self.node.node_state
@@ -172,7 +172,7 @@
                     self.world.traffic.learned_move(beat.address, beat.service)
                     return self.node.step(("beat", name, beat.load), now)
                 return self.node.step(
-                    Asked(
+                    SubmitOperations(
                         None,
                         (
                             {
--- a/src/willowpost/sim/fleet/operators.py
+++ b/src/willowpost/sim/fleet/operators.py
@@ -15,7 +15,7 @@
     Outcome,
     Request,
 )
-from willowpost.state.kinds import SUPERSEDED
+from willowpost.state.lifecycle import SUPERSEDED
 
 LOOK_EVERY = 10 * MILLI  # at whether an answer has come
 GIVEN_UP_AFTER = 8 * SECOND
--- a/src/willowpost/sim/fleet/seats.py
+++ b/src/willowpost/sim/fleet/seats.py
@@ -1,6 +1,6 @@
 """Builds the processes of a simulated fleet that are no stores."""
 
-from willowpost.node.node_state import Card
+from willowpost.node.node_state import DaemonDescriptor
 from willowpost.sim.fleet.nodes import SimProxy, SimRegistry
 from willowpost.sim.fleet.outside import SimOrigin
 
@@ -20,7 +20,7 @@
             lambda records, now, wall, incarnation: SimRegistry(
                 self,
                 self.seats[address],
-                Card(
+                DaemonDescriptor(
                     f"{address}/registry",
                     "registry",
                     "core",
@@ -42,7 +42,7 @@
             lambda records, now, wall, incarnation: SimProxy(
                 self,
                 self.seats[address],
-                Card(
+                DaemonDescriptor(
                     f"{address}/proxy", "proxy", role, address, zone, address, address, incarnation
                 ),
                 self.seeds(address),
--- a/src/willowpost/sim/fleet/settling.py
+++ b/src/willowpost/sim/fleet/settling.py
@@ -1,7 +1,7 @@
 """Planned restarts, and the end of a run: faults end, and the fleet must recover."""
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.node.leaver import Leave
+from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.sim.world import seconds
 
 AGAIN_SECONDS = 2.0  # until the operator asks once more for what may have been lost
@@ -20,7 +20,7 @@
             self.crash(address)
             self.at(SECOND, self.bring_back, address)
             return
-        self.give(address, Leave())
+        self.give(address, ShutdownRequested())
         self.at(LOOK_EVERY, self._left, address, leaver, self.seats[address].incarnation)
 
     def _left(self, address, leaver, incarnation):
--- a/src/willowpost/sim/pace.py
+++ b/src/willowpost/sim/pace.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import Weather, seconds
 
@@ -46,7 +46,7 @@
     """
 
     def __init__(
-        self, zones, regions, between: int, jitter: int, pace: Pace, rate: float, seed: int = 1
+        self, zones, regions, between: int, jitter: int, pace: ReplicaTuning, rate: float, seed: int = 1
     ):
         self.weather = Weather(
             least=100,
--- a/src/willowpost/sim/replacement_faults.py
+++ b/src/willowpost/sim/replacement_faults.py
@@ -3,8 +3,8 @@
 A machine counts as lost until CATCH_UP after it stood up; right after that the next may go.
 """
 
-from willowpost.consensus.replica.bootstrap import Rights
-from willowpost.node.leaver import Leave
+from willowpost.consensus.replica.bootstrap import VoterPolicy
+from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import Weather, seconds
@@ -39,7 +39,7 @@
             Weather(drop=0.03, twice=0.03, spread=4000),
             zones=zones,
             members=voters,
-            rights=Rights(bootstrap_from_seeds=True, max_voters=voters),
+            rights=VoterPolicy(bootstrap_from_seeds=True, max_voters=voters),
         )
         self.size = voters
         self.tokens: list[int] = []
@@ -122,7 +122,7 @@
     def _terminate(self, name):
         self.planned += 1
         leaver = self.world.seats[name].node.leaver
-        self.world.give(name, Leave())
+        self.world.give(name, ShutdownRequested())
         end = self.world.time + WITHIN_GRACE
         while not leaver.gone and self.world.time < end:
             self._order()
--- a/src/willowpost/sim/rules.py
+++ b/src/willowpost/sim/rules.py
@@ -4,7 +4,7 @@
 import re
 
 from willowpost.consensus.replica.records import RecordKind
-from willowpost.wire.messages import Accepted, BallotState, Submit
+from willowpost.wire.messages import CommandAccepted, BallotState, SubmitCommand
 
 
 class Broken(AssertionError):
@@ -40,7 +40,7 @@
             Broken: A rule was broken.
         """
         self.submitted |= {
-            message.command.key for _, message in plan.sends if isinstance(message, Submit)
+            message.command.key for _, message in plan.sends if isinstance(message, SubmitCommand)
         }
         node_state = getattr(seat.node, "node_state", None)
         if node_state is None:
@@ -54,7 +54,7 @@
         for _, message in plan.sends:
             if isinstance(message, BallotState):
                 self._stand(world, seat, message)
-            if isinstance(message, Accepted) and isinstance(json.loads(message.answers), list):
+            if isinstance(message, CommandAccepted) and isinstance(json.loads(message.answers), list):
                 self._accept(world, seat, message)
         place = (seat.address, seat.incarnation)
         self._say(
--- a/src/willowpost/sim/scripted_core.py
+++ b/src/willowpost/sim/scripted_core.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Callable
 
-from willowpost.consensus.replica.bootstrap import Rights
-from willowpost.node.leaver import Leave
+from willowpost.consensus.replica.bootstrap import VoterPolicy
+from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
-from willowpost.state.apply.core import is_settled
-from willowpost.store.leaver import LeaveSpans
-from willowpost.wire.messages import Pong, Submit, SyncedIndex
+from willowpost.state.apply.voters import is_settled
+from willowpost.store.graceful_shutdown import StoreShutdownTimeouts
+from willowpost.wire.messages import Pong, SubmitCommand, SyncedIndex
 
 Blocks = Callable[[str, str, object], bool]
 WATCHER_SPAN = 6  # s, within which the watchers have a loss in the log
@@ -23,7 +23,7 @@
 
     def __init__(self, seed=1, zones=("a", "b", "c", "c"), members=3, max_voters=3, **world):
         self.blocked: list[Blocks] = []
-        rights = Rights(bootstrap_from_seeds=True, max_voters=max_voters)
+        rights = VoterPolicy(bootstrap_from_seeds=True, max_voters=max_voters)
         super().__init__(seed, zones=zones, members=members, rights=rights, **world)
         self.add_caller("r0", ["s0"])
 
@@ -101,7 +101,7 @@
         """This store's commands of one op are lost; returns the predicate."""
 
         def blocks(sender, address, message):
-            return sender == source and isinstance(message, Submit) and op in message.command.body
+            return sender == source and isinstance(message, SubmitCommand) and op in message.command.body
 
         self.blocked.append(blocks)
         return blocks
@@ -125,8 +125,8 @@
             **spans: of LeaveSpans, in µs.
         """
         leaver = self.seats[name].node.leaver
-        leaver.spans = LeaveSpans(**spans)
-        self.give(name, Leave())
+        leaver.spans = StoreShutdownTimeouts(**spans)
+        self.give(name, ShutdownRequested())
         return lambda: leaver.gone
 
     def epochs(self):
--- a/src/willowpost/stand_ins/main.py
+++ b/src/willowpost/stand_ins/main.py
@@ -7,7 +7,7 @@
 import gevent
 
 from willowpost.common.clock import Clock
-from willowpost.shell.logs import Logs
+from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.web import Answer, Router, WebServer
 from willowpost.stand_ins.origin import Ledger, StandInsOrigin
 
@@ -66,7 +66,7 @@
     """Run the stand-in origins of the file named on the command line."""
     settings = json.loads(Path(sys.argv[1]).read_text(encoding="utf-8"))
     standins = Standins(settings["origins"])
-    logs = Logs("stand_ins", "origins")
+    logger = StructuredLogger("stand_ins", "origins")
     WebServer(
         settings["control"],
         Router(
@@ -74,7 +74,7 @@
                 ("POST", "/steer", 65536, standins.steer),
                 ("GET", "/ledger", 0, standins.ledger_page),
             ],
-            logs,
+            logger,
         ),
     ).start()
     for origin in standins.origins.values():
--- a/src/willowpost/state/apply/configurations.py
+++ b/src/willowpost/state/apply/configurations.py
@@ -2,116 +2,115 @@
 
 from dataclasses import replace
 
+from willowpost.state.apply.transition import Transition
 from willowpost.state.configuration_changes import (
-    VERSION_MOST,
+    MAX_VERSION,
     AcceptedChange,
-    ChangeRefusal,
     ConfigurationProposal,
     content_digest,
 )
+from willowpost.state.entries import ActiveConfiguration
+from willowpost.state.results import ConfigurationAccepted, Reason, Rejected
 from willowpost.state.tables import Tables
 
-Outcome = tuple[Tables, dict]
 
-
-def configuration(tables: Tables, op: dict) -> Outcome:
+def propose(tables: Tables, proposal: ConfigurationProposal) -> Transition:
     """Apply one proposed configuration.
 
     The version only goes up, and one version names one content. A proposal with a number takes
     effect if its number is above the version in force; one without a number takes the next version.
-
-    Args:
-        tables: the tables before the operation.
-        op: a proposal as `ConfigurationProposal.as_op` makes it.
-
-    Returns:
-        The tables and the answer; a refusal's `why` is a `ChangeRefusal`.
+    A rejection names the version in force.
     """
-    proposal = ConfigurationProposal.from_op(op)
     if proposal.version is None:
-        return _with_the_next_version(tables, proposal)
+        return _with_next_version(tables, proposal)
     return _numbered(tables, proposal, proposal.version)
 
 
-def _numbered(tables: Tables, proposal: ConfigurationProposal, version: int) -> Outcome:
+def _numbered(tables: Tables, proposal: ConfigurationProposal, version: int) -> Transition:
     """Apply a numbered proposal.
 
     A number that is not above the version in force is acknowledged and changes nothing. It is
-    refused if another content is known to be, or to have been, in force under that number.
+    rejected if another content is known to be, or to have been, in force under that number.
     """
-    held = tables.configuration["version"]
-    if version > held or tables.configuration["tree"] is None:
+    in_force = tables.configuration
+    if version > in_force.version or in_force.tree is None:
         return _accepted(tables, proposal, version)
-    if content_under(tables, version) not in (None, proposal.content):
-        return _refused(tables, ChangeRefusal.OTHER_CONTENT)
-    return tables, {"ok": True, "version": held, "changed": False}
+    if content_of(tables, version) not in (None, proposal.content):
+        return _rejected(tables, Reason.OTHER_CONTENT)
+    return Transition(tables, ConfigurationAccepted(in_force.version, is_changed=False))
 
 
-def _with_the_next_version(tables: Tables, proposal: ConfigurationProposal) -> Outcome:
+def _with_next_version(tables: Tables, proposal: ConfigurationProposal) -> Transition:
     """Apply a proposal without a number.
 
     A change that was accepted before is acknowledged with the version that it made.
     """
-    held = tables.configuration["version"]
-    under_key = tables.changes.by_key(proposal.key)
+    version_in_force = tables.configuration.version
+    under_key = tables.configuration_changes.by_key(proposal.key)
     if under_key is not None:
         if not under_key.is_of(proposal):
-            return _refused(tables, ChangeRefusal.KEY_REUSED)
+            return _rejected(tables, Reason.KEY_REUSED)
         return _acknowledged_again(tables, under_key)
-    if proposal.if_match not in (None, held):
-        before = tables.changes.repeated(proposal)
+    if proposal.if_match not in (None, version_in_force):
+        before = tables.configuration_changes.repeated(proposal)
         if before is None:
-            return _refused(tables, ChangeRefusal.STALE)
+            return _rejected(tables, Reason.STALE_VERSION)
         return _acknowledged_again(tables, before)
-    if proposal.if_match is None and proposal.as_of_version not in (None, held):
-        return _refused(tables, ChangeRefusal.SUPERSEDED)
-    if held >= VERSION_MOST:
-        return _refused(tables, ChangeRefusal.NO_VERSION_LEFT)
-    return _accepted(tables, proposal, held + 1)
-
-
-def _accepted(tables: Tables, proposal: ConfigurationProposal, version: int) -> Outcome:
-    if proposal.base is not None and not _stands_on(tables, proposal.base):
-        return _refused(tables, ChangeRefusal.SUPERSEDED)
-    proposal = proposal.whole(tables.configuration)
-    if proposal.tree is None or version < tables.configuration["version"]:
-        return _refused(tables, ChangeRefusal.NO_CONFIGURATION)
-    card = {"version": version, "tree": proposal.tree}
-    if proposal.source is not None:
-        card["source"] = proposal.source
+    if proposal.if_match is None and proposal.known_version not in (None, version_in_force):
+        return _rejected(tables, Reason.SUPERSEDED)
+    if version_in_force >= MAX_VERSION:
+        return _rejected(tables, Reason.NO_VERSION_LEFT)
+    return _accepted(tables, proposal, version_in_force + 1)
+
+
+def _accepted(tables: Tables, proposal: ConfigurationProposal, version: int) -> Transition:
+    if proposal.base is not None and not _is_in_force(tables, proposal.base):
+        return _rejected(tables, Reason.SUPERSEDED)
+    proposal = proposal.completed(tables.configuration)
+    if proposal.tree is None or version < tables.configuration.version:
+        return _rejected(tables, Reason.NO_CONFIGURATION)
     change = AcceptedChange(
         version, proposal.if_match, proposal.content, proposal.patch, proposal.key
     )
-    after = replace(tables, configuration=card, changes=tables.changes.with_change(change))
-    return after, {"ok": True, "version": version, "changed": True}
+    after = replace(
+        tables,
+        configuration=ActiveConfiguration(version, proposal.tree, proposal.source),
+        configuration_changes=tables.configuration_changes.with_change(change),
+    )
+    return Transition(after, ConfigurationAccepted(version, is_changed=True))
 
 
-def _stands_on(tables: Tables, base: str) -> bool:
+def _is_in_force(tables: Tables, digest: str) -> bool:
     """Whether the configuration in force is the one with this digest."""
-    newest = tables.changes.newest()
-    return newest is not None and newest.content == base
-
-
-def _acknowledged_again(tables: Tables, change: AcceptedChange) -> Outcome:
-    held = tables.configuration["version"]
-    return tables, {"ok": True, "version": change.version, "changed": False, "held": held}
+    newest = tables.configuration_changes.newest()
+    return newest is not None and newest.content == digest
+
+
+def _acknowledged_again(tables: Tables, change: AcceptedChange) -> Transition:
+    return Transition(
+        tables,
+        ConfigurationAccepted(
+            change.version,
+            is_changed=False,
+            version_in_force=tables.configuration.version,
+        ),
+    )
 
 
-def _refused(tables: Tables, refusal: ChangeRefusal) -> Outcome:
-    held = tables.configuration["version"]
-    return tables, {"ok": False, "why": refusal.value, "version": held, "changed": False}
+def _rejected(tables: Tables, reason: Reason) -> Transition:
+    return Transition(tables, Rejected(reason, version=tables.configuration.version))
 
 
-def content_under(tables: Tables, version: int) -> str | None:
+def content_of(tables: Tables, version: int) -> str | None:
     """Return the digest of the configuration of a version; None if it is not known.
 
     A configuration that an earlier build accepted is not among the changes; if it is in force, its
     digest is computed.
     """
-    change = tables.changes.by_version(version)
+    change = tables.configuration_changes.by_version(version)
     if change is not None:
         return change.content
-    held = tables.configuration
-    if version != held["version"]:
+    in_force = tables.configuration
+    if version != in_force.version or in_force.tree is None:
         return None
-    return content_digest(held["tree"], held.get("source"))
+    return content_digest(in_force.tree, in_force.source)
--- a/src/willowpost/state/apply/origins.py
+++ b/src/willowpost/state/apply/origins.py
@@ -1,199 +1,116 @@
-"""Operations on origins: register, change state, end; an ended incarnation does not return."""
+"""Changes of origins' states; an ended incarnation does not return."""
 
+from collections.abc import Iterable
 from dataclasses import replace
 
-from willowpost.state.kinds import NEXT_ORIGIN, SUPERSEDED, DaemonState, OriginState
-from willowpost.state.tables import BOUND_KEPT, ENDED_KEPT, Tables
+from willowpost.state.apply.transition import Transition, rejected
+from willowpost.state.entries import OriginEntry
+from willowpost.state.lifecycle import ORIGIN_TRANSITIONS, DaemonState, OriginState
+from willowpost.state.operations import ChangeOriginState, EndOrigin
+from willowpost.state.results import OriginAccepted, Reason, StateAccepted, no_transition
+from willowpost.state.tables import MAX_ENDED_TOKENS, Tables
 
-OVER = "this life is over"
 
+def change_state(tables: Tables, operation: ChangeOriginState) -> Transition:
+    """Change the state of an origin.
 
-def register(tables: Tables, op: dict):
-    """Register an incarnation of an origin.
-
-    An address that last served another service waits until the log lets it enter, unless the
-    service is `named` (its origins check the incarnation named on a request). An incarnation with a
-    token registers once, however often it asks. A registration with `as_of` (the slot that its
-    registry knew) changes nothing if the address was registered in that slot or later.
-
-    Args:
-        tables: the tables before the operation.
-        op: `address`, `service`, `zone`, `rate` and `cold_rate` (requests per second); optionally
-            `token`, `slots`, `number`, `state`, `as_of`, `part` (its index in the command) and
-            `cold`, whether it is cold; if given, its heartbeats will go on saying so (`told`).
-
-    Returns:
-        The tables and the answer with the `origin`'s name and `state`.
-    """
-    address, service, token = op["address"], op["service"], op.get("token")
-    if token in tables.ended:
-        return tables, {"ok": False, "why": OVER}
-    known = named(tables, token)
-    if known is not None and (
-        tables.origins[known]["address"],
-        tables.origins[known]["service"],
-    ) == (address, service):
-        return _again(tables, known, op)
-    if op.get("as_of") is not None and tables.bound.get(address, {}).get("slot", -1) >= op["as_of"]:
-        return tables, {"ok": False, "why": SUPERSEDED}
-    former = {name for name, origin in tables.origins.items() if origin["address"] == address}
-    moved = tables.bound.get(address, {}).get("service", service) != service
-    waits = not _service(tables, service).get("named") and (
-        moved or any(tables.origins[name]["state"] == OriginState.WAITING.value for name in former)
-    )
-    name = f"{address}@{tables.slot}.{op.get('part', 0)}"
-    card = {
-        "service": service,
-        "address": address,
-        "zone": op["zone"],
-        "rate": op["rate"],
-        "cold_rate": op["cold_rate"],
-        "slot": tables.slot,
-        **{name: op[name] for name in ("token", "slots", "number") if op.get(name)},
-        **({"told": True} if op.get("cold") is not None else {}),
-        "state": _first(op, waits).value,
-    }
-    others = {
-        other: origin
-        for other, origin in tables.origins.items()
-        if other not in former and other != known
-    }
-    return _over(
-        replace(tables, origins={**others, name: card}, bound=_bound(tables, address, service)),
-        [tables.origins[other] for other in former if other != known],
-    ), {"ok": True, "origin": name, "state": card["state"]}
-
-
-def turn(tables: Tables, op: dict):
-    """Change the state of the origin `origin`, or of the incarnation with `token`.
-
-    A change from a heartbeat (`number`) changes nothing after one of a later heartbeat. A change
-    with `as_of` (the slot that its registry knew) is refused if the log turned the origin cold in
-    that slot or later. One that names its registry (`by`) counts only if that is up.
-
-    Args:
-        tables: the tables before the operation.
-        op: `state`, an `OriginState` value; `origin` or `token`; optionally `number`, `as_of`,
-            `by`, `told` and `silent`: for GONE, the origin fell silent and its incarnation may
-            return.
-
-    Returns:
-        The tables and the answer with the origin's `state`.
+    A change from a heartbeat changes nothing after one of a later heartbeat. A change with a
+    `known_slot` is rejected if the origin began to warm up again in that slot or later. One that
+    names its registry counts only if that is up.
     """
-    if op.get("by") is not None and not _up(tables, op["by"]):
-        return tables, {"ok": False, "why": "its registry is lost"}
-    name = op["origin"] if op.get("origin") is not None else named(tables, op.get("token"))
-    card = tables.origins.get(name)
-    if card is None:
-        over = op.get("token") is not None and op["token"] in tables.ended
-        return tables, {"ok": True, "state": OriginState.GONE.value} if over else {
-            "ok": False,
-            "why": "unknown origin",
-        }
-    state = OriginState(op["state"])
-    if op.get("number") and op["number"] <= card.get("number", 0):
-        return tables, {"ok": True, "state": card["state"]}
-    if op.get("as_of") is not None and op["as_of"] <= card.get("cold_at", -1):
-        return tables, {"ok": False, "why": "turned cold since"}
-    if state.value == card["state"]:
-        return tables, {"ok": True, "state": card["state"]}
-    if state not in NEXT_ORIGIN[OriginState(card["state"])]:
-        return tables, {"ok": False, "why": f"{card['state']} does not turn {state.value}"}
+    if operation.registry is not None and not _is_up(tables, operation.registry):
+        return rejected(tables, Reason.REGISTRY_LOST)
+    name = operation.origin
+    if name is None:
+        name = origin_with_token(tables, operation.token)
+    origin = None if name is None else tables.origins.get(name)
+    if name is None or origin is None:
+        return _change_of_unknown(tables, operation)
+    state = OriginState(operation.state)
+    number = operation.heartbeat_number
+    if number and number <= origin.heartbeat_number:
+        return Transition(tables, StateAccepted(origin.state))
+    if _warmed_up_again_since(origin, operation.known_slot):
+        return rejected(tables, Reason.WARMED_UP_AGAIN)
+    if state is origin.state:
+        return Transition(tables, StateAccepted(origin.state))
+    if state not in ORIGIN_TRANSITIONS[origin.state]:
+        return rejected(tables, no_transition(origin.state, state))
     if state is OriginState.GONE:
-        rest = replace(
-            tables,
-            origins={other: origin for other, origin in tables.origins.items() if other != name},
-        )
-        incarnations = (
-            [] if op.get("silent") and card["state"] != OriginState.DRAINING.value else [card]
-        )
-        return _over(rest, incarnations), {"ok": True, "state": state.value}
-    turned = (
-        turned_cold(card, tables.slot)
-        if state is OriginState.COLD
-        else {**card, "state": state.value}
+        return _removed(tables, name, operation)
+    changed = _changed(origin, state, operation, tables.slot)
+    after = replace(tables, origins={**tables.origins, name: changed})
+    return Transition(after, StateAccepted(state))
+
+
+def _change_of_unknown(tables: Tables, operation: ChangeOriginState) -> Transition:
+    if operation.token is not None and operation.token in tables.ended_tokens:
+        return Transition(tables, StateAccepted(OriginState.GONE))
+    return rejected(tables, Reason.UNKNOWN_ORIGIN)
+
+
+def _warmed_up_again_since(origin: OriginEntry, known_slot: int | None) -> bool:
+    since = -1 if origin.warming_up_since_slot is None else origin.warming_up_since_slot
+    return known_slot is not None and known_slot <= since
+
+
+def _removed(tables: Tables, name: str, operation: ChangeOriginState) -> Transition:
+    """Remove an origin; its incarnation ends, unless it only timed out and may return."""
+    origin = tables.origins[name]
+    after = replace(tables, origins=_without(tables, name))
+    may_return = operation.timed_out and origin.state is not OriginState.DRAINING
+    if not may_return:
+        after = with_ended(after, [origin.token])
+    return Transition(after, StateAccepted(OriginState.GONE))
+
+
+def _changed(
+    origin: OriginEntry, state: OriginState, operation: ChangeOriginState, slot: int
+) -> OriginEntry:
+    if state is OriginState.WARMING_UP:
+        changed = warming_up_again(origin, slot)
+    else:
+        changed = replace(origin, state=state)
+    return replace(
+        changed,
+        heartbeat_number=operation.heartbeat_number or origin.heartbeat_number,
+        reports_warm_up=operation.reports_warm_up or origin.reports_warm_up,
     )
-    turned |= {name: op[name] for name in ("number", "told") if op.get(name)}
-    return replace(tables, origins={**tables.origins, name: turned}), {
-        "ok": True,
-        "state": state.value,
-    }
 
 
-def end(tables: Tables, op: dict):
-    """End the incarnation with `token`, whether or not it ever registered.
-
-    Its late heartbeats change nothing.
-
-    Returns:
-        The tables and the answer with the `origin`'s name, None if it was not registered.
-    """
-    name = named(tables, op["token"])
-    rest = replace(
-        tables, origins={other: origin for other, origin in tables.origins.items() if other != name}
-    )
-    return _over(rest, [{"token": op["token"]}]), {
-        "ok": True,
-        "state": OriginState.GONE.value,
-        "origin": name,
-    }
+def end(tables: Tables, operation: EndOrigin) -> Transition:
+    """End an incarnation, whether or not it ever registered; its late heartbeats change nothing."""
+    name = origin_with_token(tables, operation.token)
+    after = tables if name is None else replace(tables, origins=_without(tables, name))
+    after = with_ended(after, [operation.token])
+    return Transition(after, OriginAccepted(name, OriginState.GONE))
 
 
-def turned_cold(card: dict, slot: int) -> dict:
-    """Return an origin's card as cold since `slot`."""
-    return {**card, "state": OriginState.COLD.value, "cold_at": slot}
+def warming_up_again(origin: OriginEntry, slot: int) -> OriginEntry:
+    """Return an origin's entry as warming up since `slot`."""
+    return replace(origin, state=OriginState.WARMING_UP, warming_up_since_slot=slot)
 
 
-def named(tables: Tables, token: str | None) -> str | None:
+def origin_with_token(tables: Tables, token: str | None) -> str | None:
     """Return the name of the origin with this token, or None."""
-    return (
-        next((name for name, card in tables.origins.items() if card.get("token") == token), None)
-        if token
-        else None
-    )
-
-
-def _up(tables, daemon):
-    return tables.daemons.get(daemon, {}).get("state") == DaemonState.UP.value
-
-
-def _again(tables, name, op):
-    """Handle a repeated registration: only a change to draining takes effect."""
-    card = tables.origins[name]
-    if (
-        op.get("state") == OriginState.DRAINING.value
-        and card["state"] != OriginState.DRAINING.value
-    ):
-        card = {**card, "state": OriginState.DRAINING.value}
-        tables = replace(tables, origins={**tables.origins, name: card})
-    return tables, {"ok": True, "origin": name, "state": card["state"]}
+    if not token:
+        return None
+    return next((name for name, entry in tables.origins.items() if entry.token == token), None)
 
 
-def _first(op, waits):
-    if op.get("state") == OriginState.DRAINING.value:
-        return OriginState.DRAINING
-    if waits:
-        return OriginState.WAITING
-    return OriginState.WARM if op.get("cold") is False else OriginState.COLD
+def with_ended(tables: Tables, tokens: Iterable[str | None]) -> Tables:
+    """Return the tables with these incarnations ended; origins without a token leave no trace."""
+    ended = [token for token in tokens if token and token not in tables.ended_tokens]
+    if not ended:
+        return tables
+    ended_tokens = (*tables.ended_tokens, *ended)[-MAX_ENDED_TOKENS:]
+    return replace(tables, ended_tokens=ended_tokens)
 
 
-def _service(tables, service):
-    return ((tables.configuration["tree"] or {}).get("services") or {}).get(service, {})
-
-
-def _bound(tables, address, service):
-    """Return `Tables.bound` with this address; beyond BOUND_KEPT without the oldest one.
-
-    The oldest by slot, not by the order in the table, which differs after a snapshot.
-    """
-    bound = {**tables.bound, address: {"service": service, "slot": tables.slot}}
-    if len(bound) > BOUND_KEPT:
-        bound.pop(min(bound, key=lambda held: (bound[held].get("slot", 0), held)))
-    return bound
+def _is_up(tables: Tables, daemon_id: str) -> bool:
+    daemon = tables.daemons.get(daemon_id)
+    return daemon is not None and daemon.state is DaemonState.UP
 
 
-def _over(tables, cards):
-    tokens = [
-        card["token"] for card in cards if card.get("token") and card["token"] not in tables.ended
-    ]
-    return replace(tables, ended=(*tables.ended, *tokens)[-ENDED_KEPT:]) if tokens else tables
+def _without(tables: Tables, name: str) -> dict[str, OriginEntry]:
+    return {other: entry for other, entry in tables.origins.items() if other != name}
--- a/src/willowpost/state/configuration_changes.py
+++ b/src/willowpost/state/configuration_changes.py
@@ -5,30 +5,19 @@
 """
 
 import json
+from collections.abc import Callable
 from dataclasses import dataclass, replace
-from enum import Enum
 from typing import Any
 
 from willowpost.common.digest import blake2b
 from willowpost.configuration.delta import ConfigurationDelta
-from willowpost.state.kinds import SUPERSEDED
+from willowpost.state.entries import ActiveConfiguration
 
-CHANGES_KEPT = 1024
-VERSION_MOST = 2**63 - 1
+MAX_CHANGES = 1024
+MAX_VERSION = 2**63 - 1
 DIGEST_BYTES = 16
 
 
-class ChangeRefusal(str, Enum):
-    """Why the log does not accept a change; the value is what its answer says."""
-
-    STALE = "stale"
-    OTHER_CONTENT = "the number belongs to another configuration"
-    KEY_REUSED = "the idempotency key belongs to another change"
-    NO_CONFIGURATION = "no configuration"
-    NO_VERSION_LEFT = "no version number is left"
-    SUPERSEDED = SUPERSEDED  # a later change was accepted since its registry proposed it
-
-
 @dataclass(frozen=True, slots=True)
 class ConfigurationProposal:
     """One change as its sender meant it.
@@ -42,40 +31,30 @@
         patch: Digest of the JSON Patch that the tree was made with.
         key: Digest of the sender's idempotency key.
         base: Digest of the configuration that `tree_delta` and `source_delta` start from; None if
-            the proposal carries its tree and source whole.
+            the proposal carries its tree and source in full.
         tree_delta: As `delta.tree_delta` makes it, in place of the tree.
         source_delta: As `delta.text_delta` makes it, in place of the source.
-        as_of_version: The version that the proposing registry knew. A change without a number and
+        known_version: The version that the proposing registry knew. A change without a number and
             without `if_match` is superseded if another version is in force by then.
     """
 
     content: str | None = None
-    tree: dict | None = None
+    tree: dict[str, Any] | None = None
     source: str | None = None
     version: int | None = None
     if_match: int | None = None
     patch: str | None = None
     key: str | None = None
-    as_of_version: int | None = None
+    known_version: int | None = None
     base: str | None = None
     tree_delta: dict[str, Any] | None = None
-    source_delta: list | None = None
+    source_delta: list[Any] | None = None
 
-    def as_op(self) -> dict[str, Any]:
-        """Return the operation that carries the proposal in a command."""
-        fields = {name: getattr(self, name) for name in self.__slots__}
-        said = {name: value for name, value in fields.items() if value is not None}
-        return {"op": "configuration", **said}
+    def with_content(self, digest: str) -> "ConfigurationProposal":
+        """Return the proposal with the digest of its tree and source."""
+        return replace(self, content=digest)
 
-    @classmethod
-    def from_op(cls, op: dict[str, Any]) -> "ConfigurationProposal":
-        """Read an operation; if it has a tree but no digest, compute the digest."""
-        said = {name: op.get(name) for name in cls.__slots__}
-        if said["content"] is None and said["tree"] is not None:
-            said["content"] = content_digest(said["tree"], said["source"])
-        return cls(**said)
-
-    def whole(self, held: dict[str, Any]) -> "ConfigurationProposal":
+    def completed(self, in_force: ActiveConfiguration) -> "ConfigurationProposal":
         """Return the proposal with its tree and source, made from the configuration in force.
 
         Raises:
@@ -83,7 +62,8 @@
         """
         if self.tree_delta is None:
             return self
-        tree, source = ConfigurationDelta(self.tree_delta, self.source_delta).on(held)
+        delta = ConfigurationDelta(self.tree_delta, self.source_delta)
+        tree, source = delta.on(in_force.tree, in_force.source)
         return replace(self, tree=tree, source=source)
 
 
@@ -111,25 +91,25 @@
             return self.patch == proposal.patch
         return self.content == proposal.content
 
-    def as_row(self) -> list:
+    def as_row(self) -> list[Any]:
         """Return the change as the tables' text holds it."""
         return [getattr(self, name) for name in self.__slots__]
 
     @classmethod
-    def from_row(cls, row: list) -> "AcceptedChange":
+    def from_row(cls, row: list[Any]) -> "AcceptedChange":
         """Read what `as_row` returned."""
         return cls(*row)
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeLog:
-    """The last accepted changes, oldest first; at most `CHANGES_KEPT`."""
+    """The last accepted changes, oldest first; at most `MAX_CHANGES`."""
 
     changes: tuple[AcceptedChange, ...] = ()
 
     def with_change(self, change: AcceptedChange) -> "ChangeLog":
         """Return the log with one more change at its end."""
-        return ChangeLog((*self.changes, change)[-CHANGES_KEPT:])
+        return ChangeLog((*self.changes, change)[-MAX_CHANGES:])
 
     def by_key(self, key: str | None) -> AcceptedChange | None:
         """Return the change with this digest of an idempotency key; None if there is none."""
@@ -151,15 +131,15 @@
         """Return the change that made the version in force, if it is remembered."""
         return self.changes[-1] if self.changes else None
 
-    def _newest(self, fits) -> AcceptedChange | None:
+    def _newest(self, fits: Callable[[AcceptedChange], bool]) -> AcceptedChange | None:
         return next((change for change in reversed(self.changes) if fits(change)), None)
 
-    def as_rows(self) -> list[list]:
+    def as_rows(self) -> list[list[Any]]:
         """Return the changes as the tables' text holds them."""
         return [change.as_row() for change in self.changes]
 
     @classmethod
-    def from_rows(cls, rows: list[list]) -> "ChangeLog":
+    def from_rows(cls, rows: list[list[Any]]) -> "ChangeLog":
         """Read what `as_rows` returned."""
         return cls(tuple(AcceptedChange.from_row(row) for row in rows))
 
@@ -170,6 +150,6 @@
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
-def content_digest(tree: dict, source: str | None) -> str:
+def content_digest(tree: dict[str, Any], source: str | None) -> str:
     """Return the digest of a checked configuration and the document it was made from."""
     return digest_of([tree, source])
--- a/src/willowpost/state/snapshot_transfer.py
+++ b/src/willowpost/state/snapshot_transfer.py
@@ -6,7 +6,7 @@
 
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import SnapshotPiece, SnapshotRequest
+from willowpost.wire.messages import SnapshotChunk, SnapshotRequest
 
 PIECE_BYTES = 64 * 1024  # less than a link of 600 KB/s passes between two polls
 HELD_AFTER_REQUEST = 3 * SECOND  # a text without a request for so long is dropped
@@ -30,7 +30,7 @@
 
     def piece(
         self, tables: Tables, asker_slot: int, floor: int, request: SnapshotRequest | None, now: int
-    ) -> SnapshotPiece:
+    ) -> SnapshotChunk:
         """Return the piece that the request names, or the first piece of a snapshot that is of use.
 
         Args:
@@ -48,7 +48,7 @@
             self.slot, self.text = tables.slot, tables.text()
         offset = request.offset if resumed else 0
         text = self.text[offset : offset + PIECE_BYTES]
-        return SnapshotPiece(self.slot, offset, len(self.text), text)
+        return SnapshotChunk(self.slot, offset, len(self.text), text)
 
     def release(self, now: int) -> None:
         """Drop the text if nobody has asked for a piece for HELD_AFTER_REQUEST."""
@@ -79,7 +79,7 @@
         """Whether a piece of a transfer under way came within STALLED_AFTER."""
         return bool(self.pieces) and now - self.progress_at < STALLED_AFTER
 
-    def take(self, piece: SnapshotPiece, now: int) -> str | None:
+    def take(self, piece: SnapshotChunk, now: int) -> str | None:
         """Add a piece, if it is the next one.
 
         Args:
--- a/src/willowpost/state/tables.py
+++ b/src/willowpost/state/tables.py
@@ -1,19 +1,36 @@
 """The state that results from the decided log; immutable, replaced as a whole."""
 
 import json
-from dataclasses import dataclass, field, fields
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from typing import Any
 
 from willowpost.common.digest import blake2b
-from willowpost.common.formats import UnknownFormat
-from willowpost.common.uncollected import uncollected
+from willowpost.common.formats import UnknownFormatError
+from willowpost.common.gc_pause import uncollected
+from willowpost.state import codec
 from willowpost.state.configuration_changes import ChangeLog
+from willowpost.state.entries import (
+    ActiveConfiguration,
+    AddressBinding,
+    CommandHistory,
+    DaemonEntry,
+    FailureVerdict,
+    OriginEntry,
+    Ownership,
+    PreviousVoters,
+    Purge,
+    ZoneEvacuation,
+)
+from willowpost.wire.messages import Member
 
 SNAPSHOT_FORMAT = 1  # of the text; another number is refused
-PURGES_KEPT = 4096
-ANSWERS_KEPT = 64
-FAILURE_VERDICTS_KEPT = 64
-ENDED_KEPT = 2048
-BOUND_KEPT = 4096
+FORMAT_NAME = "format"
+MAX_PURGES = 4096
+MAX_RECORDED_RESULTS = 64  # commands of one daemon
+MAX_FAILURE_VERDICTS = 64
+MAX_ENDED_TOKENS = 2048
+MAX_ADDRESS_BINDINGS = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,39 +40,38 @@
     Invariants:
 
     - `slot` is the next slot to apply: the tables result from slots 0 to slot - 1 and nothing else.
-    - `core` names the voters of slot `slot`, `epoch` counts its changes.
-    - `former` holds the voters before the last change and the slot that changed them.
-    - `configuration` holds `source`, the operator's own document, if one was given.
-    - `changes` holds the last accepted changes of the configuration; the newest made the one in
-      force.
-    - an address is bound to at most one origin, and so is a token; `bound` keeps the service that
-      an address last served.
-    - `ended` holds the tokens of the last ended incarnations of origins, oldest first; none of them
-      is among `origins`, or will be again.
+    - `voters` names the voters of slot `slot`, `epoch` counts its changes.
+    - `previous_voters` holds the voters before the last change and the slot that changed them.
+    - `suspicions` maps the id of a daemon to the ids of those that suspect it; none are empty.
+    - `configuration_changes` holds the last accepted changes of the configuration; the newest made
+      the one in force.
+    - an address is bound to at most one origin, and so is a token; `address_bindings` keeps the
+      service that an address last served.
+    - `ended_tokens` holds the tokens of the last ended incarnations of origins, oldest first; none
+      of them is among `origins`, or will be again.
     - `purges` holds every purge of a slot >= `purge_floor`, oldest first.
-    - `seen` holds for each daemon its newest incarnation; a counter <= `floor` has been applied or
-      never will be.
-    - a daemon not in `seen` runs no command of an incarnation <= `seen_floor`.
+    - `command_histories` holds for each daemon what its commands led to; a daemon not in it runs no
+      command of an incarnation <= `forgotten_incarnation`.
     """
 
     slot: int = 0
     epoch: int = 0
-    core: tuple = ()
-    former: dict = field(default_factory=dict)
-    daemons: dict = field(default_factory=dict)
-    suspicions: dict = field(default_factory=dict)
-    configuration: dict = field(default_factory=lambda: {"version": 0, "tree": None})
-    origins: dict = field(default_factory=dict)
-    bound: dict = field(default_factory=dict)
-    purges: tuple = ()
+    voters: tuple[Member, ...] = ()
+    previous_voters: PreviousVoters | None = None
+    daemons: dict[str, DaemonEntry] = field(default_factory=dict)
+    suspicions: dict[str, frozenset[str]] = field(default_factory=dict)
+    configuration: ActiveConfiguration = ActiveConfiguration()
+    origins: dict[str, OriginEntry] = field(default_factory=dict)
+    address_bindings: dict[str, AddressBinding] = field(default_factory=dict)
+    purges: tuple[Purge, ...] = ()
     purge_floor: int = 0
-    zones: dict = field(default_factory=dict)
-    fences: dict = field(default_factory=dict)
-    failure_verdicts: tuple = ()
-    seen: dict = field(default_factory=dict)
-    seen_floor: int = 0
-    ended: tuple = ()
-    changes: ChangeLog = ChangeLog()
+    zone_evacuations: dict[str, ZoneEvacuation] = field(default_factory=dict)
+    ownerships: dict[str, Ownership] = field(default_factory=dict)
+    failure_verdicts: tuple[FailureVerdict, ...] = ()
+    command_histories: dict[str, CommandHistory] = field(default_factory=dict)
+    forgotten_incarnation: int = 0
+    ended_tokens: tuple[str, ...] = ()
+    configuration_changes: ChangeLog = field(default_factory=ChangeLog)
 
     def incarnation(self, daemon: str) -> tuple[str, int]:
         """Return (daemon, its incarnation).
@@ -63,13 +79,23 @@
         Raises:
             KeyError: the daemon is not in the tables.
         """
-        return daemon, self.daemons[daemon]["incarnation"]
+        return daemon, self.daemons[daemon].incarnation
+
+    def voter_identities(self) -> frozenset[str]:
+        """Return the identities of the voters."""
+        return frozenset(voter.identity for voter in self.voters)
+
+    def as_json(self) -> dict[str, Any]:
+        """Return the JSON object of the snapshot."""
+        stored = {
+            name: encode(getattr(self, attribute))
+            for attribute, (name, encode, _) in STORED_TABLES.items()
+        }
+        return {**stored, FORMAT_NAME: SNAPSHOT_FORMAT}
 
     def text(self) -> str:
         """Return the snapshot: ASCII JSON; equal tables have equal texts at every daemon."""
-        held = {name.name: getattr(self, name.name) for name in fields(self)}
-        held |= {"format": SNAPSHOT_FORMAT, "changes": self.changes.as_rows()}
-        return json.dumps(held, sort_keys=True, separators=(",", ":"))
+        return json.dumps(self.as_json(), sort_keys=True, separators=(",", ":"))
 
     def digest(self) -> str:
         """Return the digest of the text: 16 hexadecimal digits."""
@@ -79,18 +105,94 @@
 def tables_from(text: str) -> Tables:
     """Read the tables from a snapshot's text.
 
-    A text of an earlier build may lack newer fields: they get their defaults.
+    A text of an earlier build may lack newer tables: they get their defaults.
 
     Raises:
-        UnknownFormat: the text was made by a build that writes another format.
+        UnknownFormatError: the text was made by a build that writes another format.
     """
     with uncollected():
-        held = json.loads(text)
-    found = held.pop("format", None)
-    if found != SNAPSHOT_FORMAT:
-        raise UnknownFormat("snapshot", found, SNAPSHOT_FORMAT)
-    changes = ChangeLog.from_rows(held.pop("changes", []))
-    tuples = {
-        name: tuple(value) if isinstance(value, list) else value for name, value in held.items()
-    }
-    return Tables(**tuples, changes=changes)
+        stored = json.loads(text)
+        found = stored.get(FORMAT_NAME)
+        if found != SNAPSHOT_FORMAT:
+            raise UnknownFormatError("snapshot", found, SNAPSHOT_FORMAT)
+        return Tables(
+            **{
+                attribute: decode(stored[name])
+                for attribute, (name, _, decode) in STORED_TABLES.items()
+                if name in stored
+            }
+        )
+
+
+Stored = tuple[str, Callable[[Any], Any], Callable[[Any], Any]]
+
+
+def _plain(name: str) -> Stored:
+    return name, lambda value: value, lambda stored: stored
+
+
+def _mapping(name: str, records: codec.RecordCodec[Any]) -> Stored:
+    return (
+        name,
+        lambda table: {key: records.encode(entry) for key, entry in table.items()},
+        lambda stored: {key: records.decode(entry) for key, entry in stored.items()},
+    )
+
+
+def _sequence(name: str, records: codec.RecordCodec[Any]) -> Stored:
+    return (
+        name,
+        lambda entries: [records.encode(entry) for entry in entries],
+        lambda stored: tuple(records.decode(entry) for entry in stored),
+    )
+
+
+def _previous_voters_from(stored: dict[str, Any]) -> PreviousVoters | None:
+    return codec.PREVIOUS_VOTERS.decode(stored) if stored else None
+
+
+# attribute of `Tables` -> its name in the text, and how it is written and read
+STORED_TABLES: Mapping[str, Stored] = {
+    "slot": _plain("slot"),
+    "epoch": _plain("epoch"),
+    "voters": _sequence("core", codec.MEMBER),
+    "previous_voters": (
+        "former",
+        lambda previous: codec.PREVIOUS_VOTERS.encode(previous) if previous else {},
+        _previous_voters_from,
+    ),
+    "daemons": _mapping("daemons", codec.DAEMON),
+    "suspicions": (
+        "suspicions",
+        lambda table: {key: dict.fromkeys(sorted(names), True) for key, names in table.items()},
+        lambda stored: {key: frozenset(names) for key, names in stored.items()},
+    ),
+    "configuration": (
+        "configuration",
+        codec.CONFIGURATION.encode,
+        codec.CONFIGURATION.decode,
+    ),
+    "origins": _mapping("origins", codec.ORIGIN),
+    "address_bindings": _mapping("bound", codec.ADDRESS_BINDING),
+    "purges": _sequence("purges", codec.PURGE),
+    "purge_floor": _plain("purge_floor"),
+    "zone_evacuations": _mapping("zones", codec.ZONE_EVACUATION),
+    "ownerships": _mapping("fences", codec.OWNERSHIP),
+    "failure_verdicts": _sequence("failure_verdicts", codec.FAILURE_VERDICT),
+    "command_histories": (
+        "seen",
+        lambda table: {
+            name: codec.encode_command_history(history) for name, history in table.items()
+        },
+        lambda stored: {
+            name: codec.decode_command_history(history) for name, history in stored.items()
+        },
+    ),
+    "forgotten_incarnation": _plain("seen_floor"),
+    "ended_tokens": ("ended", list, tuple),
+    "configuration_changes": (
+        "changes",
+        lambda changes: changes.as_rows(),
+        ChangeLog.from_rows,
+    ),
+}
--- a/src/willowpost/store/daemon.py
+++ b/src/willowpost/store/daemon.py
@@ -5,13 +5,13 @@
 import gevent
 
 from willowpost.common.clock import Clock
-from willowpost.consensus.replica.bootstrap import Rights
+from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.consensus.replica.records import identity_record
-from willowpost.node.leaver import Leave
+from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.shell.disk import Disk
-from willowpost.shell.patient_disk import PatientDisk
+from willowpost.shell.retrying_disk import RetryingDisk
 from willowpost.shell.runner import TICK_SECONDS, Runner
-from willowpost.shell.segment_format import DiskDamaged
+from willowpost.shell.segment_format import DiskDamagedError
 from willowpost.store.node import StoreNode
 from willowpost.wire.messages import Member
 
@@ -19,10 +19,10 @@
 class StoreDaemon:
     """A store with its disk; the identity is made once, and synced before it is sent."""
 
-    def __init__(self, place, logs):
+    def __init__(self, place, logger):
         self.place = place
-        self.logs = logs
-        self.runner = Runner(place.address, logs)
+        self.logger = logger
+        self.runner = Runner(place.address, logger)
         self.node: StoreNode | None = None
 
     def start(self) -> None:
@@ -36,27 +36,27 @@
         place, disk, clock = self.place, Disk(os.path.join(self.place.data, "store")), Clock()
         try:
             records = disk.load()
-        except DiskDamaged as damage:
+        except DiskDamagedError as damage:
             # what it said cannot be known any more: as good as lost
             aside = disk.set_aside(clock.wall())
-            self.logs.say(
+            self.logger.log(
                 "disk", "damaged, set aside", level="error", damage=str(damage), aside=aside
             )
             disk = Disk(disk.folder)
             records = disk.load()
-        self.runner.disk = PatientDisk(disk, self.logs)
+        self.runner.disk = RetryingDisk(disk, self.logger)
         if not records:
             me = Member(
                 f"{place.name}-{os.urandom(6).hex()}", place.name, place.zone, place.address
             )
             records = [{**identity_record(me), "may_bootstrap": place.may_bootstrap}]
             self.runner.disk.rotate(records)
-            self.logs.say("disk", "empty: a new identity was made", identity=me.identity)
+            self.logger.log("disk", "empty: a new identity was made", identity=me.identity)
         held = records[0]
         me = Member(held["identity"], place.name, place.zone, place.address)
         # an identity made when it might found may go on founding, else bootstrap members that
         # restart meanwhile would stop the founding
-        rights = Rights(
+        rights = VoterPolicy(
             place.may_bootstrap or held.get("may_bootstrap", False),
             place.bootstrap_from_seeds,
             place.max_voters,
@@ -72,7 +72,7 @@
             place.pace,
             rights=rights,
         )
-        self.logs.say(
+        self.logger.log(
             "store",
             "restored",
             slot=node.node_state.tables.slot,
@@ -83,7 +83,7 @@
         self.runner.start(node)
 
     def stop(self) -> None:
-        """Hand the voter's place over or settle (`store/leaver.py`), then end.
+        """Hand the voter's place over or settle (`store/graceful_shutdown.py`), then end.
 
         A store that is stopped at any other moment loses nothing either: all it has sent is on its
         disk. A disk that hangs does not delay the end: this task's own clock keeps the time limits.
@@ -92,7 +92,7 @@
             return
         spans, clock = self.node.leaver.spans, self.runner.clock
         give_up_at = clock.now() + max(spans.handover, spans.settle)
-        self.runner.inbox.put(Leave())
+        self.runner.inbox.put(ShutdownRequested())
         while not self.node.leaver.gone and clock.now() < give_up_at:
             gevent.sleep(TICK_SECONDS)
         self.runner.mesh.stop()
--- a/src/willowpost/store/leaver.py
+++ b/src/willowpost/store/graceful_shutdown.py
@@ -12,18 +12,18 @@
 from enum import Enum
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Tick
+from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.barrier import former_identities
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.node.command_client import CommandClient
-from willowpost.node.joiner import Joiner
-from willowpost.node.leaver import Leave
-from willowpost.state.apply.core import is_settled, successor_of
-from willowpost.store.repair import Repair
+from willowpost.node.join import FleetJoin
+from willowpost.node.graceful_shutdown import ShutdownRequested
+from willowpost.state.apply.voters import is_settled, successor_of
+from willowpost.store.voter_repair import VoterRepair
 
 
-class LeaveStage(Enum):
+class StoreShutdownStage(Enum):
     """The stages of a store's end; the transitions are in `NEXT`."""
 
     SERVING = "serving"
@@ -33,52 +33,52 @@
 
 
 NEXT = {
-    LeaveStage.SERVING: {LeaveStage.HANDING_OVER, LeaveStage.SETTLING},
-    LeaveStage.HANDING_OVER: {LeaveStage.SETTLING},
-    LeaveStage.SETTLING: {LeaveStage.GONE},
-    LeaveStage.GONE: set(),
+    StoreShutdownStage.SERVING: {StoreShutdownStage.HANDING_OVER, StoreShutdownStage.SETTLING},
+    StoreShutdownStage.HANDING_OVER: {StoreShutdownStage.SETTLING},
+    StoreShutdownStage.SETTLING: {StoreShutdownStage.GONE},
+    StoreShutdownStage.GONE: set(),
 }
 HANDOVER_SPAN = 5 * SECOND
 SETTLE_SPAN = 500 * MILLI
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveSpans:
+class StoreShutdownTimeouts:
     """Time limits of a store's end, in µs."""
 
     handover: int = HANDOVER_SPAN  # with a learner there: from the signal to the end
     settle: int = SETTLE_SPAN  # without one
 
 
-class StoreLeaver:
+class StoreShutdown:
     """Ends a store; the stage is GONE at the latest when the span that applies is over."""
 
     def __init__(
         self,
         node_state: ReplicaState,
         command_client: CommandClient,
-        joiner: Joiner,
-        repair: Repair,
+        joiner: FleetJoin,
+        repair: VoterRepair,
         incarnation: int,
     ):
-        self.spans = LeaveSpans()
+        self.spans = StoreShutdownTimeouts()
         self.node_state = node_state
         self.command_client = command_client
         self.joiner = joiner
         self.repair = repair
         self.incarnation = incarnation
-        self.stage = LeaveStage.SERVING
+        self.stage = StoreShutdownStage.SERVING
         self.end_by = 0
 
     @property
     def gone(self) -> bool:
         """Whether the process may end."""
-        return self.stage is LeaveStage.GONE
+        return self.stage is StoreShutdownStage.GONE
 
     def step(self, event, now: int) -> Plan:
-        """Begin on `Leave`; on each tick, move on if the next stage is due."""
+        """Begin on `ShutdownRequested`; on each tick, move on if the next stage is due."""
         plan = Plan()
-        if isinstance(event, Leave) and self.stage is LeaveStage.SERVING:
+        if isinstance(event, ShutdownRequested) and self.stage is StoreShutdownStage.SERVING:
             self._begin(now, plan)
         elif isinstance(event, Tick):
             self._tick(now, plan)
@@ -88,23 +88,23 @@
         self.joiner.leaving = self.repair.leaving = True
         if self._successor() is None:
             self.end_by = now + self.spans.settle
-            self._move(LeaveStage.SETTLING, plan)
+            self._move(StoreShutdownStage.SETTLING, plan)
             return
         self.end_by = now + self.spans.handover
-        self._move(LeaveStage.HANDING_OVER, plan)
+        self._move(StoreShutdownStage.HANDING_OVER, plan)
         identity = self.node_state.me.identity
         op = {"op": "drain", "id": identity, "incarnation": self.incarnation}
-        plan.join(self.command_client.step(Asked(None, (op,), self.spans.handover), now))
+        plan.join(self.command_client.step(SubmitOperations(None, (op,), self.spans.handover), now))
 
     def _tick(self, now, plan):
-        if self.stage is LeaveStage.HANDING_OVER:
+        if self.stage is StoreShutdownStage.HANDING_OVER:
             if not self.node_state.voter:
-                self._move(LeaveStage.SETTLING, plan)
+                self._move(StoreShutdownStage.SETTLING, plan)
             elif now >= self.end_by or self._successor() is None:
                 self.end_by = min(self.end_by, now + self.spans.settle)
-                self._move(LeaveStage.SETTLING, plan)
-        if self.stage is LeaveStage.SETTLING and (now >= self.end_by or self._settled()):
-            self._move(LeaveStage.GONE, plan)
+                self._move(StoreShutdownStage.SETTLING, plan)
+        if self.stage is StoreShutdownStage.SETTLING and (now >= self.end_by or self._settled()):
+            self._move(StoreShutdownStage.GONE, plan)
 
     def _successor(self) -> str | None:
         node_state = self.node_state
@@ -127,8 +127,8 @@
         )
         return holding >= min(node_state.limits.heard, len(others))
 
-    def _move(self, stage: LeaveStage, plan: Plan) -> None:
+    def _move(self, stage: StoreShutdownStage, plan: Plan) -> None:
         if stage not in NEXT[self.stage]:
             raise ValueError(f"no way from {self.stage.value} to {stage.value}")
         self.stage = stage
-        plan.note("leave", stage.value, slot=self.node_state.tables.slot)
+        plan.log("leave", stage.value, slot=self.node_state.tables.slot)
--- a/src/willowpost/store/main.py
+++ b/src/willowpost/store/main.py
@@ -20,9 +20,9 @@
 whose folder was lost comes back under a new identity, learns, and takes the seat."""
     needs = ("data",)
 
-    def build(self, place, logs):
-        """Make the daemon of checked settings (a `Place`)."""
-        return StoreDaemon(place, logs)
+    def build(self, place, logger):
+        """Make the daemon of checked settings (a `ProcessSettings`)."""
+        return StoreDaemon(place, logger)
 
 
 def main() -> None:
--- a/src/willowpost/store/node.py
+++ b/src/willowpost/store/node.py
@@ -4,20 +4,20 @@
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.acceptance import Acceptance
 from willowpost.consensus.replica.barrier import FormerVoter
-from willowpost.consensus.replica.bootstrap import Bootstrap, Rights
+from willowpost.consensus.replica.bootstrap import Bootstrap, VoterPolicy
 from willowpost.consensus.replica.catchup import Catchup
 from willowpost.consensus.replica.compaction import Compaction
 from willowpost.consensus.replica.missed_change import MissedChange
-from willowpost.consensus.replica.reads import Reads
-from willowpost.consensus.replica.replica_state import Pace, ReplicaState
+from willowpost.consensus.replica.quorum_reads import Reads
+from willowpost.consensus.replica.replica_state import ReplicaTuning, ReplicaState
 from willowpost.consensus.replica.voting import Voting
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.command_client import CommandClient
-from willowpost.node.joiner import Joiner
-from willowpost.node.node_state import Card
-from willowpost.node.watch import Watch
-from willowpost.store.leaver import StoreLeaver
-from willowpost.store.repair import Repair
+from willowpost.node.join import FleetJoin
+from willowpost.node.node_state import DaemonDescriptor
+from willowpost.node.failure_detector import FailureDetector
+from willowpost.store.graceful_shutdown import StoreShutdown
+from willowpost.store.voter_repair import VoterRepair
 from willowpost.wire.messages import Member
 
 
@@ -33,20 +33,20 @@
         now: int,
         wall,
         incarnation: int,
-        pace: Pace = Pace(),
+        pace: ReplicaTuning = ReplicaTuning(),
         thresholds=Thresholds,
         http: str = "",
-        rights: Rights = Rights(),
+        rights: VoterPolicy = VoterPolicy(),
     ):
         self.node_state = ReplicaState(me, pace, thresholds)
         self.node_state.restore(records, now)
         self.command_client = CommandClient(me.identity, incarnation, self._cores, wall)
-        self.card = Card(
+        self.descriptor = DaemonDescriptor(
             me.identity, "store", "core", me.name, me.zone, me.address, http, incarnation
         )
-        repair = Repair(self.node_state, self.command_client, incarnation, rights.max_voters)
-        joiner = Joiner(self.card, self._tables, self.command_client)
-        self.leaver = StoreLeaver(self.node_state, self.command_client, joiner, repair, incarnation)
+        repair = VoterRepair(self.node_state, self.command_client, incarnation, rights.max_voters)
+        joiner = FleetJoin(self.descriptor, self._tables, self.command_client)
+        self.leaver = StoreShutdown(self.node_state, self.command_client, joiner, repair, incarnation)
         self.controllers: list[Controller] = [
             Bootstrap(self.node_state, tuple(seeds), size, rights),
             Catchup(self.node_state),
@@ -58,7 +58,7 @@
             self.command_client,
             FormerVoter(self.node_state),
             repair,
-            Watch(self.card, self._tables, self.command_client),
+            FailureDetector(self.descriptor, self._tables, self.command_client),
             joiner,
             self.leaver,
         ]
--- a/src/willowpost/store/repair.py
+++ b/src/willowpost/store/voter_repair.py
@@ -6,10 +6,10 @@
 from dataclasses import asdict
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Tick
+from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.state.apply.core import is_settled, seat_for, with_voters_added
+from willowpost.state.apply.voters import is_settled, seat_for, with_voters_added
 
 ASK_EVERY = 1 * SECOND
 WHOLE_WITHIN = 500 * MILLI
@@ -18,7 +18,7 @@
 ASKED_FOR = 2 * SECOND
 
 
-class Repair:
+class VoterRepair:
     """Asks for a voter's place, but only while it holds what the voters hold.
 
     That is known by a quorum read of its own. A voter has the first slot of a new epoch decided, so
@@ -58,7 +58,7 @@
         tables = self.node_state.tables
         if not self.noted and self.node_state.me.identity in tables.daemons:
             self.noted = True
-            plan.note("repair", "a learner that holds what the voters hold", slot=tables.slot)
+            plan.log("repair", "a learner that holds what the voters hold", slot=tables.slot)
 
     def _open_epoch(self, now) -> Plan:
         """Have a slot decided after the last change of the voters, until the log has gone on.
@@ -85,7 +85,7 @@
         learner = asdict(self.node_state.me)
         op = {"op": "replace_voter", "old": member["identity"], "new": learner}
         plan = self._ask(op, now, ASKED_FOR)
-        plan.note("repair", "asks for a voter's seat", replaced=member["name"])
+        plan.log("repair", "asks for a voter's seat", replaced=member["name"])
         return plan
 
     def _offer(self, now) -> Plan:
@@ -97,12 +97,12 @@
         }
         plan = self._ask(op, now)
         voters = len(self.node_state.tables.core)
-        plan.note("repair", "offers itself as one more voter", voters=voters)
+        plan.log("repair", "offers itself as one more voter", voters=voters)
         return plan
 
     def _ask(self, op, now, lifetime: int | None = None) -> Plan:
         self.asked_at = now
-        return self.command_client.step(Asked(None, (op,), lifetime), now)
+        return self.command_client.step(SubmitOperations(None, (op,), lifetime), now)
 
     def _whole(self, now):
         fresh_as_of = self.node_state.fresh_as_of
--- a/src/willowpost/toolbox/folder.py
+++ b/src/willowpost/toolbox/folder.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import Any
 
-from willowpost.common.formats import UnknownFormat
+from willowpost.common.formats import UnknownFormatError
 from willowpost.consensus.replica.records import RecordKind, command_from, decision_from
 from willowpost.shell.disk import ASIDE, segments_in
-from willowpost.shell.segment_format import DiskDamaged, parse
-from willowpost.state.apply import Apply
+from willowpost.shell.segment_format import DiskDamagedError, parse
+from willowpost.state.apply import StateMachine
 from willowpost.state.tables import Tables, tables_from
 
 
@@ -49,7 +49,7 @@
         data = Path(path).read_bytes()
         try:
             records, sound = parse(data)
-        except (DiskDamaged, UnknownFormat) as damage:
+        except (DiskDamagedError, UnknownFormatError) as damage:
             return [*findings, Finding(names[-1], str(damage))], facts
         if sound < len(data):
             findings.append(
@@ -124,7 +124,7 @@
             elif record["k"] == RecordKind.BALLOT_STATE:
                 proposed = command_from(record["command"]) or proposed
             elif record["k"] == RecordKind.DECISION:
-                tables = Apply().step(tables, decision_from(record, proposed))
+                tables = StateMachine().apply(tables, decision_from(record, proposed))
         if slot is not None and tables.slot != slot:
             raise ValueError(
                 f"the folder holds slots {tables.slot} and later"
--- a/src/willowpost/wire/codec.py
+++ b/src/willowpost/wire/codec.py
@@ -2,7 +2,7 @@
 
 from dataclasses import MISSING, fields
 
-from willowpost.common.lean import unfound
+from willowpost.common.import_guard import unfound
 from willowpost.wire.messages import BODIES, NESTED
 
 # Where numpy is installed, flatbuffers would return its number types, and loading it takes 20 MB.
--- a/src/willowpost/wire/messages.py
+++ b/src/willowpost/wire/messages.py
@@ -122,7 +122,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forward:
+class ForwardCommand:
     """A submitted command, passed on by a store to the other voters."""
 
     command: Command = Command()
@@ -145,7 +145,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SnapshotPiece:
+class SnapshotChunk:
     """A part of the text of the snapshot of `slot`.
 
     Attributes:
@@ -162,7 +162,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class CatchupRequest:
     """Asks a store for decisions, a snapshot or the body of a command.
 
     Attributes:
@@ -179,8 +179,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Answers an `Ask`: decisions, a whole snapshot, a piece of one, or the body of a command.
+class CatchupResponse:
+    """Answers an `CatchupRequest`: decisions, a whole snapshot, a piece of one, or the body of a command.
 
     `slot` is the slot after the last decision, or the sender's own slot with a piece, or the
     slot asked about with a command.
@@ -190,18 +190,18 @@
     decisions: tuple[Decision, ...] = ()
     snapshot: str = ""
     command: Command | None = None
-    piece: SnapshotPiece | None = None
+    piece: SnapshotChunk | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Submit:
-    """A command that a daemon wants decided; a store answers with `Accepted`."""
+class SubmitCommand:
+    """A command that a daemon wants decided; a store answers with `CommandAccepted`."""
 
     command: Command = Command()
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
+class CommandAccepted:
     """The command is decided and synced on n - f voters.
 
     Attributes:
@@ -217,15 +217,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadAsk:
+class QuorumReadRequest:
     """Asks a voter for its slot, in a quorum read."""
 
     nonce: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class ReadTell:
-    """A voter's answer to `ReadAsk`: its identity and the next slot it will apply."""
+class QuorumReadResponse:
+    """A voter's answer to `QuorumReadRequest`: its identity and the next slot it will apply."""
 
     nonce: int = 0
     identity: str = ""
@@ -269,7 +269,7 @@
     fresh: bool = False
     decisions: tuple[Decision, ...] = ()
     snapshot: str = ""
-    piece: SnapshotPiece | None = None
+    piece: SnapshotChunk | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -289,7 +289,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaShareAsk:
+class QuotaShareRequest:
     """Asks the owner of a service's quota for a share.
 
     Attributes:
@@ -306,7 +306,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaShareTell:
+class QuotaShareResponse:
     """Grants a quota share; `rate` is in thousandths of a request per second."""
 
     nonce: int = 0
@@ -316,7 +316,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class OriginHeartbeat:
     """An origin's heartbeat, passed on by a registry.
 
     Attributes:
@@ -336,7 +336,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdmissionTokenAsk:
+class AdmissionTokenRequest:
     """Asks a service's owner for one admission token.
 
     Attributes:
@@ -353,7 +353,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdmissionTokenTell:
+class AdmissionTokenResponse:
     """The owner's answer: whether the token is given."""
 
     nonce: int = 0
@@ -363,22 +363,22 @@
 BODIES = (
     BallotState,
     Hello,
-    Forward,
+    ForwardCommand,
     SyncedIndex,
-    Ask,
-    Tell,
-    Submit,
-    Accepted,
-    ReadAsk,
-    ReadTell,
+    CatchupRequest,
+    CatchupResponse,
+    SubmitCommand,
+    CommandAccepted,
+    QuorumReadRequest,
+    QuorumReadResponse,
     Poll,
     StateUpdate,
     Ping,
     Pong,
-    QuotaShareAsk,
-    QuotaShareTell,
-    Beat,
-    AdmissionTokenAsk,
-    AdmissionTokenTell,
+    QuotaShareRequest,
+    QuotaShareResponse,
+    OriginHeartbeat,
+    AdmissionTokenRequest,
+    AdmissionTokenResponse,
 )
-NESTED = (Command, Decision, Member, SnapshotRequest, SnapshotPiece)
+NESTED = (Command, Decision, Member, SnapshotRequest, SnapshotChunk)
