--- a/src/willowpost/common/events.py
+++ b/src/willowpost/common/events.py
@@ -33,13 +33,13 @@
 
     Attributes:
         token: under which the caller waits for the outcome; None: nobody waits.
-        ops: the operations, in the order in which they are to be applied.
+        operations: as `state/operations.py` defines them, in the order in which they are to be applied.
         lifetime: µs after which they are not submitted again. None: they are submitted while the
             caller waits or, if nobody waits, until the log has answered.
     """
 
     token: Any
-    ops: tuple[dict[str, Any], ...]
+    operations: tuple[Any, ...]
     lifetime: int | None = None
 
 
--- a/src/willowpost/common/plan.py
+++ b/src/willowpost/common/plan.py
@@ -15,7 +15,7 @@
         rotate: the records of a new disk segment that replaces all before it; None: none.
         sends: (address, message).
         replies: (token, result) for callers in this process.
-        notes: (part, sentence, fields) to be logged.
+        log_entries: (part, sentence, fields) to be logged.
     """
 
     records: list[dict[str, Any]] = field(default_factory=list)
@@ -23,15 +23,15 @@
     sends: list[tuple[str, object]] = field(default_factory=list)  # (address, message)
     replies: list[tuple[object, Any]] = field(default_factory=list)  # (token, result)
     # (part, sentence, fields)
-    notes: list[tuple[str, str, dict[str, Any]]] = field(default_factory=list)
+    log_entries: list[tuple[str, str, dict[str, Any]]] = field(default_factory=list)
 
     def send(self, address: str, message: object) -> None:
         """Add a message to be sent to `address`."""
         self.sends.append((address, message))
 
-    def note(self, part: str, sentence: str, **more: Any) -> None:
+    def log(self, part: str, sentence: str, **more: Any) -> None:
         """Add a sentence to be logged."""
-        self.notes.append((part, sentence, more))
+        self.log_entries.append((part, sentence, more))
 
     def join(self, other: "Plan") -> "Plan":
         """Add another controller's plan for the same step; returns this plan."""
@@ -41,5 +41,5 @@
         self.records += other.records
         self.sends += other.sends
         self.replies += other.replies
-        self.notes += other.notes
+        self.log_entries += other.log_entries
         return self
--- a/src/willowpost/consensus/replica/acceptance.py
+++ b/src/willowpost/consensus/replica/acceptance.py
@@ -6,7 +6,8 @@
 from willowpost.common.events import Received
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.state.apply import answer_of
+from willowpost.state.apply import recorded_results
+from willowpost.state.codec import encode_results
 from willowpost.wire.messages import CommandAccepted, Command, SubmitCommand
 
 WAITING_MOST = 4096
@@ -71,10 +72,12 @@
         if not node_state.is_decided(command):
             return None
         newest_slot = node_state.tables.slot - 1
-        held = node_state.tables.seen.get(command.daemon)
-        if held is None:
-            return Outcome(newest_slot, {"forgotten": node_state.tables.seen_floor})
-        if held["incarnation"] > command.incarnation:
-            return Outcome(newest_slot, {"barred": held["incarnation"]})
-        answer = answer_of(node_state.tables, command)
-        return Outcome(*answer) if answer else Outcome(newest_slot, None)
+        history = node_state.tables.command_histories.get(command.daemon)
+        if history is None:
+            return Outcome(newest_slot, {"forgotten": node_state.tables.forgotten_incarnation})
+        if history.incarnation > command.incarnation:
+            return Outcome(newest_slot, {"barred": history.incarnation})
+        recorded = recorded_results(node_state.tables, command)
+        if recorded is None:
+            return Outcome(newest_slot, None)
+        return Outcome(recorded.slot, encode_results(recorded.results))
--- a/src/willowpost/consensus/replica/barrier.py
+++ b/src/willowpost/consensus/replica/barrier.py
@@ -40,12 +40,12 @@
 
 def first_slot(tables: Tables) -> int:
     """The first slot of the epoch in force; 0 in the epoch that the bootstrap members founded."""
-    return tables.former["slot"] + 1 if tables.former else 0
+    return tables.previous_voters.slot + 1 if tables.previous_voters else 0
 
 
-def former_identities(tables: Tables) -> list[str]:
+def previous_identities(tables: Tables) -> tuple[str, ...]:
     """The voters of the epoch before the one in force; none in the first epoch."""
-    return [member["identity"] for member in tables.former["core"]] if tables.former else []
+    return tables.previous_voters.identities() if tables.previous_voters else ()
 
 
 def holds_both_quorums(node_state: ReplicaState) -> bool:
@@ -53,7 +53,7 @@
     return all(
         quorum_index(identities, node_state.synced_indexes, node_state.thresholds)
         >= first_slot(node_state.tables)
-        for identities in (former_identities(node_state.tables), node_state.members)
+        for identities in (previous_identities(node_state.tables), node_state.members)
     )
 
 
@@ -75,7 +75,7 @@
     tables = node_state.tables
     begins = first_slot(tables)
     return (
-        not tables.former
+        tables.previous_voters is None
         or node_state.passed >= tables.epoch
         or tables.slot > begins
         or any(identity != node_state.me.identity for identity in node_state.heard)
@@ -112,6 +112,6 @@
         return (
             not node_state.voter
             and tables.slot == first_slot(tables)
-            and node_state.me.identity in former_identities(tables)
+            and node_state.me.identity in previous_identities(tables)
             and not is_beyond(node_state)
         )
--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -1,14 +1,15 @@
 """Bootstraps an empty fleet once; an empty store in a bootstrapped fleet becomes a learner."""
 
 import json
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 
 from willowpost.common.clock import SECOND
 from willowpost.common.events import SettingsChanged, Received, Tick
 from willowpost.common.plan import Plan
-from willowpost.consensus.replica.records import bootstrap_promise_record, found_record
+from willowpost.consensus.replica.records import bootstrap_promise_record, founding_record
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.wire.messages import CatchupRequest, Hello, Member, members_of
+from willowpost.state.codec import MEMBER
+from willowpost.wire.messages import CatchupRequest, Hello, Member
 
 # µs; a bootstrapped store without a successful quorum read for so long asks its seeds who votes
 WITHOUT_SOURCE_AFTER = 3 * SECOND
@@ -106,7 +107,7 @@
         node_state = self.node_state
         if not node_state.bootstrapped and not self._may_bootstrap():
             return Hello(answer=answer)
-        known = members_of(node_state.tables.core) or tuple(self.claims.values())
+        known = node_state.tables.voters or tuple(self.claims.values())
         return Hello(
             node_state.me.identity,
             node_state.me.name,
@@ -175,15 +176,19 @@
         if not node_state.bootstrap_promise and self._may_promise():
             self._promise(plan)
         self.bootstrap_promises[node_state.me.identity] = node_state.bootstrap_promise
-        core = [json.loads(card) for card in node_state.bootstrap_promise]
+        members = tuple(
+            MEMBER.decode(json.loads(member)) for member in node_state.bootstrap_promise
+        )
         promised = (
-            self.bootstrap_promises.get(member["identity"]) == node_state.bootstrap_promise
-            for member in core
+            self.bootstrap_promises.get(member.identity) == node_state.bootstrap_promise
+            for member in members
         )
-        if core and all(promised):
-            plan.records.append(found_record(core))
-            node_state.found({"core": core})
-            plan.log("bootstrap", "fleet founded", voters=[member["name"] for member in core])
+        if members and all(promised):
+            plan.records.append(founding_record(members))
+            node_state.enter_first_epoch(members)
+            plan.log(
+                "bootstrap", "fleet bootstrapped", voters=[member.name for member in members]
+            )
 
     def _may_promise(self) -> bool:
         """Whether this store may bootstrap, enough stores have claimed, and no fleet runs yet."""
@@ -200,6 +205,6 @@
         chosen = ranked[: self.size]
         if node_state.me not in chosen:
             return
-        cards = sorted(json.dumps(asdict(claim), sort_keys=True) for claim in chosen)
+        cards = sorted(json.dumps(MEMBER.encode(claim), sort_keys=True) for claim in chosen)
         node_state.bootstrap_promise = tuple(cards)
         plan.records.append(bootstrap_promise_record(cards))
--- a/src/willowpost/consensus/replica/records.py
+++ b/src/willowpost/consensus/replica/records.py
@@ -1,8 +1,15 @@
 """The codec of what a store writes to its disk: JSON objects whose `k` names their kind."""
 
-from dataclasses import asdict
 from enum import StrEnum
-
+from typing import Any
+
+from willowpost.state.codec import (
+    MEMBER,
+    RecordCodec,
+    StoredField,
+    decode_members,
+    encode_members,
+)
 from willowpost.wire.messages import BallotState, Command, Decision, Member
 
 
@@ -19,9 +26,21 @@
     PASSED = "passed"  # the barrier of an epoch
 
 
-def command_from(held: dict | None) -> Command | None:
+COMMAND = RecordCodec(
+    Command,
+    {
+        "daemon": StoredField("daemon"),
+        "incarnation": StoredField("incarnation"),
+        "counter": StoredField("counter"),
+        "stamp": StoredField("stamp"),
+        "body": StoredField("body"),
+    },
+)
+
+
+def command_from(stored: dict[str, Any] | None) -> Command | None:
     """Return the command of a record, or None if it has none."""
-    return None if held is None else Command(**held)
+    return None if stored is None else COMMAND.decode(stored)
 
 
 def ballot_state_record(ballot_state: BallotState, whole: bool) -> dict:
@@ -35,7 +54,7 @@
         "epoch": ballot_state.epoch,
         "slot": ballot_state.slot,
         "proposal": ballot_state.proposal,
-        "command": asdict(ballot_state.command) if whole and ballot_state.command else None,
+        "command": COMMAND.encode(ballot_state.command) if whole and ballot_state.command else None,
         "states": list(ballot_state.states),
         "votes": list(ballot_state.votes),
         "agreed": ballot_state.agreed,
@@ -52,7 +71,7 @@
         "k": RecordKind.DECISION,
         "slot": decision.slot,
         "key": decision.key,
-        "command": asdict(decision.command) if whole and decision.command else None,
+        "command": COMMAND.encode(decision.command) if whole and decision.command else None,
     }
 
 
@@ -81,7 +100,7 @@
 
 def identity_record(me: Member) -> dict:
     """Return the record of this store's identity; made once, for an empty folder."""
-    return {"k": RecordKind.IDENTITY, **asdict(me)}
+    return {"k": RecordKind.IDENTITY, **MEMBER.encode(me)}
 
 
 def bootstrap_promise_record(cards: tuple[str, ...]) -> dict:
@@ -89,9 +108,14 @@
     return {"k": RecordKind.BOOTSTRAP_PROMISE, "members": list(cards)}
 
 
-def found_record(core: list[dict]) -> dict:
+def founding_record(voters: tuple[Member, ...]) -> dict[str, Any]:
     """Return the record of the first epoch with its voters."""
-    return {"k": RecordKind.FOUND, "core": core}
+    return {"k": RecordKind.FOUND, "core": encode_members(voters)}
+
+
+def founding_voters(stored: dict[str, Any]) -> tuple[Member, ...]:
+    """Read the voters of the record of the first epoch."""
+    return decode_members(stored["core"])
 
 
 def snapshot_record(text: str, log_floor: int, passed: int) -> dict:
--- a/src/willowpost/consensus/replica/replica_state.py
+++ b/src/willowpost/consensus/replica/replica_state.py
@@ -6,7 +6,7 @@
 from willowpost.common.plan import Plan
 from willowpost.consensus.log_size import size_of
 from willowpost.consensus.pending_queue import PendingQueue
-from willowpost.consensus.replica.barrier import former_identities, is_passed, quorum_index
+from willowpost.consensus.replica.barrier import previous_identities, is_passed, quorum_index
 from willowpost.consensus.replica.records import (
     RecordKind,
     ballot_state_record,
@@ -14,12 +14,13 @@
     command_from,
     decision_from,
     decision_record,
+    founding_voters,
     identity_record,
     kept_record,
     snapshot_record,
 )
 from willowpost.consensus.thresholds import Thresholds
-from willowpost.state.apply import StateMachine, decided
+from willowpost.state.apply import StateMachine, is_decided
 from willowpost.state.snapshot_transfer import SnapshotReceiver, SnapshotSource
 from willowpost.state.tables import Tables, tables_from
 from willowpost.wire.messages import BallotState, Command, Decision, Member, SyncedIndex
@@ -104,7 +105,7 @@
     @property
     def limits(self) -> Thresholds:
         """The thresholds of the epoch in force."""
-        return self.thresholds(len(self.tables.core))
+        return self.thresholds(len(self.tables.voters))
 
     def others(self) -> list[str]:
         """Addresses of the voters of the epoch in force, without this store."""
@@ -126,17 +127,17 @@
         index = quorum_index(self.members, self.synced_indexes, self.thresholds)
         if is_passed(self):
             return index
-        former = former_identities(self.tables)
+        former = previous_identities(self.tables)
         return min(index, quorum_index(former, self.synced_indexes, self.thresholds))
 
     def is_decided(self, command: Command) -> bool:
         """Whether the command is in the log, or barred from it for ever."""
-        return decided(self.tables, command)
+        return is_decided(self.tables, command)
 
     def take(self, tables: Tables) -> None:
         """Replace the tables, and reset what depends on their epoch and slot."""
         self.tables = tables
-        self.members = {member["identity"]: member["address"] for member in tables.core}
+        self.members = {voter.identity: voter.address for voter in tables.voters}
         self.own, self.heard = None, {}
         arrived = self.early.pop(tables.slot, {})
         self.heard = {
@@ -182,10 +183,7 @@
 
     def forget_strangers(self) -> None:
         """Drop synced indexes of all but the voters and the voters before them."""
-        known = {
-            *self.members,
-            *(member["identity"] for member in self.tables.former.get("core", ())),
-        }
+        known = {*self.members, *previous_identities(self.tables)}
         self.synced_indexes = {
             identity: slot for identity, slot in self.synced_indexes.items() if identity in known
         }
@@ -212,7 +210,7 @@
         readers = {
             RecordKind.IDENTITY: lambda held: None,
             RecordKind.BOOTSTRAP_PROMISE: self._bootstrap_promise,
-            RecordKind.FOUND: self.found,
+            RecordKind.FOUND: self._founding,
             RecordKind.SNAPSHOT: self._snapshot,
             RecordKind.KEPT: self._kept,
             RecordKind.DECISION: self._decision,
@@ -229,9 +227,12 @@
     def _bootstrap_promise(self, held):
         self.bootstrap_promise = tuple(held["members"])
 
-    def found(self, held):
-        """Enter epoch 1 with the voters in `held["core"]`, each a Member as a mapping."""
-        self.take(replace(Tables(), epoch=1, core=tuple(held["core"])))
+    def _founding(self, held):
+        self.enter_first_epoch(founding_voters(held))
+
+    def enter_first_epoch(self, voters: tuple[Member, ...]) -> None:
+        """Enter epoch 1 with these voters."""
+        self.take(replace(Tables(), epoch=1, voters=voters))
 
     def _snapshot(self, held):
         self.log = {}
--- a/src/willowpost/consensus/replica/voting.py
+++ b/src/willowpost/consensus/replica/voting.py
@@ -145,7 +145,7 @@
         if not is_passed(node_state):
             return False
         tables = node_state.tables
-        begins = bool(tables.former) and tables.slot == first_slot(tables)
+        begins = tables.previous_voters is not None and tables.slot == first_slot(tables)
         if begins and node_state.passed < tables.epoch:
             node_state.passed = tables.epoch
             plan.records.append(passed_record(tables.epoch))
--- a/src/willowpost/node/command_client.py
+++ b/src/willowpost/node/command_client.py
@@ -6,6 +6,8 @@
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import SubmitOperations, Received, Tick, WithdrawSubmission
 from willowpost.common.plan import Plan
+from willowpost.state.codec import decode_results, encode_operation
+from willowpost.state.results import Result
 from willowpost.wire.messages import CommandAccepted, Command, SubmitCommand
 
 BATCH_WAIT = 5 * MILLI
@@ -15,6 +17,19 @@
 AVOID_FOR = 5 * SECOND
 
 
+@dataclass(frozen=True, slots=True)
+class SubmissionOutcome:
+    """What the log made of the operations of one caller.
+
+    Attributes:
+        slot: that decided them, or a later one if that is not known.
+        results: one for each operation; None if they are not known.
+    """
+
+    slot: int
+    results: tuple[Result, ...] | None
+
+
 @dataclass(frozen=True, slots=True)
 class Request:
     """Operations that one caller in this process asked for.
@@ -101,8 +116,7 @@
         submitted when it holds BATCH_MOST operations or is BATCH_WAIT old.
 
         Returns:
-            The submissions; replies are `{"slot", "answers"}`, with None for answers that are not
-            known.
+            The submissions; replies are `SubmissionOutcome`.
         """
         plan = Plan()
         match event:
@@ -129,7 +143,7 @@
         if not self.gathered:
             self.gathered_at = now
         expires_at = None if asked.lifetime is None else now + asked.lifetime
-        self.gathered.append(Request(asked.token, asked.ops, expires_at))
+        self.gathered.append(Request(asked.token, asked.operations, expires_at))
 
     def _full(self):
         return sum(len(request.operations) for request in self.gathered) >= BATCH_MOST
@@ -145,7 +159,11 @@
         for lasting in (True, False):
             requests = tuple(request for request in gathered if request.lasting is lasting)
             if requests:
-                operations = [op for request in requests for op in request.operations]
+                operations = [
+                    encode_operation(operation)
+                    for request in requests
+                    for operation in request.operations
+                ]
                 self._open(json.dumps(operations, separators=(",", ":")), requests, now, plan)
 
     def _open(self, body, requests, now, plan):
@@ -194,6 +212,6 @@
         for request in entry.requests:
             end = start + len(request.operations)
             if request.token is not None and request.token not in entry.withdrawn:
-                told = None if answers is None else answers[start:end]
-                plan.replies.append((request.token, {"slot": accepted.slot, "answers": told}))
+                results = None if answers is None else decode_results(answers[start:end])
+                plan.replies.append((request.token, SubmissionOutcome(accepted.slot, results)))
             start = end
--- a/src/willowpost/node/failure_detector.py
+++ b/src/willowpost/node/failure_detector.py
@@ -8,6 +8,8 @@
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
+from willowpost.state.lifecycle import DaemonState
+from willowpost.state.operations import ReportSuspicion
 from willowpost.wire.messages import Ping, Pong
 
 PING_EVERY = 400 * MILLI
@@ -25,11 +27,15 @@
     Each zone has at most one of them while there are enough zones, so that losing a zone leaves
     two.
     """
-    others = [name for name, card in daemons.items() if name != target and card["state"] != "lost"]
+    others = [
+        name
+        for name, daemon in daemons.items()
+        if name != target and daemon.state is not DaemonState.LOST
+    ]
     ranked = Rendezvous().rank(f"watch/{target}", others)
     zones = {}
     for name in ranked:
-        zones.setdefault(daemons[name]["zone"], name)
+        zones.setdefault(daemons[name].zone, name)
     spread = tuple(zones.values())[:WATCHERS]
     return spread + tuple(name for name in ranked if name not in spread)[: WATCHERS - len(spread)]
 
@@ -40,11 +46,11 @@
     After a freeze of its own it suspects nobody before they had a new chance to answer.
     """
 
-    def __init__(self, card, tables, command_client):
-        self.descriptor = card
+    def __init__(self, descriptor, tables, command_client):
+        self.descriptor = descriptor
         self.tables = tables  # () -> Tables
         self.command_client = command_client
-        self.nonces = NonceSequence(card.id, card.incarnation, "ping")
+        self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "ping")
         self.heard: dict[str, int] = {}  # id@incarnation -> last answer
         self.reported: dict[str, int] = {}
         self.pinged_at = 0
@@ -80,11 +86,12 @@
                 if name != self.descriptor.id and self.descriptor.id in watchers_of(name, tables.daemons)
             )
         nonce = self.nonces.next()
-        cards = {name: tables.daemons[name] for name in self.watched if name in tables.daemons}
+        watched = {name: tables.daemons[name] for name in self.watched if name in tables.daemons}
         plan.sends += [
-            (card["address"], Ping(nonce, self.descriptor.incarnation_id)) for card in cards.values()
+            (daemon.address, Ping(nonce, self.descriptor.incarnation_id))
+            for daemon in watched.values()
         ]
-        incarnation_ids = {name: f"{name}@{card['incarnation']}" for name, card in cards.items()}
+        incarnation_ids = {name: daemon.incarnation_id for name, daemon in watched.items()}
         self.heard = {
             incarnation_id: self.heard.get(incarnation_id, now)
             for incarnation_id in incarnation_ids.values()
@@ -99,23 +106,22 @@
             (name, False) for name in sorted(mine - silent)
         ]
         ops = tuple(
-            {
-                "op": "suspicion",
-                "target": name,
-                "incarnation": tables.daemons[name]["incarnation"],
-                "watcher": self.descriptor.id,
-                "suspected": suspected,
-            }
+            ReportSuspicion(
+                target=name,
+                incarnation=tables.daemons[name].incarnation,
+                watcher=self.descriptor.id,
+                is_suspected=suspected,
+            )
             for name, suspected in changed
             if name in tables.daemons
             and now - self.reported.get(name, -REPORT_EVERY) >= REPORT_EVERY
         )
         if ops:
-            self.reported.update({op["target"]: now for op in ops})
+            self.reported.update({op.target: now for op in ops})
             plan.join(self.command_client.step(SubmitOperations(None, ops, REPORT_LIFETIME), now))
             for op in ops:
                 plan.log(
                     "watch",
-                    "suspicions a daemon" if op["suspected"] else "hears a daemon again",
-                    daemon=op["target"],
+                    "suspicions a daemon" if op.is_suspected else "hears a daemon again",
+                    daemon=op.target,
                 )
--- a/src/willowpost/node/follower.py
+++ b/src/willowpost/node/follower.py
@@ -13,7 +13,7 @@
 from willowpost.node.node_state import LEASE, TAIL_BYTES_KEPT, TAIL_KEPT, NodeState
 from willowpost.state.apply import StateMachine
 from willowpost.state.tables import tables_from
-from willowpost.wire.messages import Hello, Ping, Poll, StateUpdate, members_of
+from willowpost.wire.messages import Hello, Ping, Poll, StateUpdate
 
 POLL_EVERY = 150 * MILLI
 SILENT_AFTER = 450 * MILLI
@@ -41,9 +41,9 @@
         self.node_state = node_state
         self.seeds = tuple(seeds)
         self.tree = tree
-        self.apply = StateMachine()
-        card = node_state.descriptor
-        self.nonces = NonceSequence(card.id, card.incarnation, "poll")
+        self.state_machine = StateMachine()
+        descriptor = node_state.descriptor
+        self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "poll")
         self.polls: dict[int, int] = {}
         self.polled_at = -POLL_EVERY
         self.heard_at = 0
@@ -65,9 +65,9 @@
             case Received(source, Poll() as poll):
                 self._tell(source, poll, now, plan)
             case Received(source, Hello(answer=True, bootstrapped=True) as hello):
-                if not self.node_state.tables.core or self._without_source(now):
+                if not self.node_state.tables.voters or self._without_source(now):
                     self.node_state.seed_cores = tuple(member.address for member in hello.known)
-            case Received(source, Ping()) if not self.node_state.tables.core:
+            case Received(source, Ping()) if not self.node_state.tables.voters:
                 # A watcher of this daemon has tables, even if the seeds are gone.
                 plan.send(source, Hello(answer=False))
             case Received(source, Hello(answer=False)):
@@ -76,7 +76,7 @@
                     Hello(
                         bootstrapped=self.node_state.tables.epoch > 0,
                         answer=True,
-                        known=members_of(self.node_state.tables.core),
+                        known=self.node_state.tables.voters,
                     ),
                 )
             case SettingsChanged(seeds=seeds):
@@ -92,20 +92,20 @@
         if not self.tree:
             return cores
         zone = {
-            name: card
-            for name, card in node_state.live("proxy").items()
-            if card["zone"] == node_state.descriptor.zone
+            name: proxy
+            for name, proxy in node_state.live("proxy").items()
+            if proxy.zone == node_state.descriptor.zone
         }
         ranked = Rendezvous().rank(f"state_update/{node_state.descriptor.zone}", zone)
         before = (
             ranked[: ranked.index(node_state.descriptor.id)] if node_state.descriptor.id in ranked else ranked
         )
-        return [zone[name]["address"] for name in before[:HOMES_TRIED]] + cores
+        return [zone[name].address for name in before[:HOMES_TRIED]] + cores
 
     def _tick(self, now, plan):
         node_state = self.node_state
         if (
-            not node_state.tables.core or self._without_source(now)
+            not node_state.tables.voters or self._without_source(now)
         ) and now - self.hello_at >= HELLO_EVERY:
             self.hello_at = now
             plan.sends += [(seed, Hello(answer=False)) for seed in self.seeds]
@@ -190,7 +190,7 @@
         tables, taken = node_state.tables, []
         for decision in decisions:
             if decision.slot == tables.slot and tables.epoch:
-                tables = self.apply.step(tables, decision)
+                tables = self.state_machine.apply(tables, decision)
                 taken.append(decision)
         if taken:
             tail = node_state.tail + tuple(taken)
--- a/src/willowpost/node/graceful_shutdown.py
+++ b/src/willowpost/node/graceful_shutdown.py
@@ -6,6 +6,7 @@
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
+from willowpost.state.operations import DrainDaemon, RemoveDaemon
 
 
 class Stage(Enum):
@@ -85,7 +86,9 @@
         if isinstance(event, ShutdownRequested) and self.stage is Stage.SERVING:
             self.node_state.draining = True
             self._move(Stage.DRAINING, now, plan)
-            self._ask("drain", now, plan)
+            self._submit(
+                DrainDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan
+            )
         elif isinstance(event, Tick):
             self._tick(now - self.since, now, plan)
         return plan
@@ -99,7 +102,9 @@
         ):
             self.joiner.leaving = True
             self._move(Stage.LEAVING, now, plan)
-            self._ask("leave", now, plan)
+            self._submit(
+                RemoveDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan
+            )
         elif (
             self.stage is Stage.LEAVING
             and (span >= self.spans.leave or self.descriptor.id not in self.node_state.tables.daemons)
@@ -107,15 +112,8 @@
         ):  # a kept connection may have brought one more
             self._move(Stage.GONE, now, plan)
 
-    def _ask(self, op, now, plan):
-        plan.join(
-            self.command_client.step(
-                SubmitOperations(
-                    None, ({"op": op, "id": self.descriptor.id, "incarnation": self.descriptor.incarnation},)
-                ),
-                now,
-            )
-        )
+    def _submit(self, operation, now, plan):
+        plan.join(self.command_client.step(SubmitOperations(None, (operation,)), now))
 
     def _move(self, stage, now, plan):
         assert stage in NEXT[self.stage]
--- a/src/willowpost/node/join.py
+++ b/src/willowpost/node/join.py
@@ -1,10 +1,10 @@
-"""Keeps this daemon's card in the log's table of daemons."""
-
-from dataclasses import asdict
+"""Keeps this daemon's entry in the log's table of daemons."""
 
 from willowpost.common.clock import SECOND
 from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
+from willowpost.state.lifecycle import DaemonState
+from willowpost.state.operations import JoinDaemon
 
 JOIN_EVERY = 1 * SECOND
 
@@ -15,8 +15,8 @@
     Whether the daemon is lost is decided by the log alone. Nothing is sent once `leaving` is set.
     """
 
-    def __init__(self, card, tables, command_client):
-        self.descriptor = card
+    def __init__(self, descriptor, tables, command_client):
+        self.descriptor = descriptor
         self.tables = tables
         self.command_client = command_client
         self.asked_at = -JOIN_EVERY
@@ -33,12 +33,12 @@
         tables = self.tables()
         held = tables.daemons.get(self.descriptor.id)
         forgotten = (
-            held is not None and held["state"] == "lost" and self.descriptor.id not in tables.suspicions
+            held is not None and held.state is DaemonState.LOST and self.descriptor.id not in tables.suspicions
         )
         if not tables.epoch or (
-            held is not None and held["incarnation"] == self.descriptor.incarnation and not forgotten
+            held is not None and held.incarnation == self.descriptor.incarnation and not forgotten
         ):
             return Plan()
         self.asked_at = now
-        card = asdict(self.descriptor)
-        return self.command_client.step(SubmitOperations(None, ({"op": "join", "daemon": card},)), now)
+        joining = JoinDaemon(self.descriptor)
+        return self.command_client.step(SubmitOperations(None, (joining,)), now)
--- a/src/willowpost/node/node_state.py
+++ b/src/willowpost/node/node_state.py
@@ -4,6 +4,8 @@
 
 from willowpost.common.clock import MILLI
 from willowpost.common.rendezvous import weight
+from willowpost.state.entries import DaemonDescriptor, DaemonEntry
+from willowpost.state.lifecycle import DaemonState
 from willowpost.state.snapshot_transfer import SnapshotReceiver, SnapshotSource
 from willowpost.state.tables import Tables
 
@@ -20,25 +22,6 @@
 TAIL_BYTES_KEPT = 2 * 1024 * 1024
 
 
-@dataclass(frozen=True, slots=True)
-class DaemonDescriptor:
-    """A daemon's description; `id` and `incarnation` together name one run of one process."""
-
-    id: str
-    kind: str  # store | registry | proxy
-    role: str  # edge | shield | core
-    name: str  # the machine
-    zone: str
-    address: str  # where its peers reach it
-    http: str
-    incarnation: int
-
-    @property
-    def incarnation_id(self) -> str:
-        """The name of this run of the process: id@incarnation."""
-        return f"{self.id}@{self.incarnation}"
-
-
 @dataclass(slots=True)
 class NodeState:
     """The shared state of one follower. Times are µs of the own clock.
@@ -51,7 +34,7 @@
       them and TAIL_BYTES_KEPT bytes.
     """
 
-    card: DaemonDescriptor
+    descriptor: DaemonDescriptor
     tables: Tables = field(default_factory=Tables)
     fresh_as_of: int | None = None
     tail: tuple = ()
@@ -111,20 +94,20 @@
         only seeds named.
         """
         ordered = sorted(
-            self.tables.core,
-            key=lambda member: (
-                member["name"] != self.descriptor.name,
-                member["zone"] != self.descriptor.zone,
-                weight(self.descriptor.id, member["identity"]),
+            self.tables.voters,
+            key=lambda voter: (
+                voter.name != self.descriptor.name,
+                voter.zone != self.descriptor.zone,
+                weight(self.descriptor.id, voter.identity),
             ),
         )
-        known = [member["address"] for member in ordered]
+        known = [voter.address for voter in ordered]
         return known + [address for address in self.seed_cores if address not in known]
 
-    def live(self, kind: str) -> dict[str, dict]:
-        """Return the cards of all daemons of a kind whose state is "up", by id."""
+    def live(self, kind: str) -> dict[str, DaemonEntry]:
+        """Return all daemons of a kind that are up, by id."""
         return {
-            name: card
-            for name, card in self.tables.daemons.items()
-            if card["kind"] == kind and card["state"] == "up"
+            name: daemon
+            for name, daemon in self.tables.daemons.items()
+            if daemon.kind == kind and daemon.state is DaemonState.UP
         }
--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -24,8 +24,8 @@
 
     def __init__(self, node_state: NodeState, follower: Follower):
         self.node_state, self.follower = node_state, follower
-        card = node_state.descriptor
-        self.nonces = NonceSequence(card.id, card.incarnation, "read")
+        descriptor = node_state.descriptor
+        self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "read")
         self.reads = OpenReads()
         self.heard_at: dict[str, int] = {}  # voter -> when its last answer came
         self.asked_at = -ASK_EVERY
@@ -45,14 +45,15 @@
                     if slot > self.node_state.tables.slot:
                         self.follower.poll(source, now, plan)
             case Tick() if (
-                self.node_state.tables.core
+                self.node_state.tables.voters
                 and now - self.asked_at >= ASK_EVERY
                 and self._stale(now)
             ):
                 nonce, self.asked_at = self.nonces.next(), now
                 self.reads.begin(nonce, now, self.node_state.tables.epoch, {})
                 plan.sends += [
-                    (member["address"], QuorumReadRequest(nonce)) for member in self.node_state.tables.core
+                    (voter.address, QuorumReadRequest(nonce))
+                    for voter in self.node_state.tables.voters
                 ]
         self._settle()
         return plan
@@ -68,10 +69,10 @@
             node_state.quorum_heard_at = max(node_state.quorum_heard_at or 0, quorum_at)
 
     def _quorum(self):
-        return Thresholds(len(self.node_state.tables.core)).heard
+        return Thresholds(len(self.node_state.tables.voters)).heard
 
     def _voters(self):
-        return {member["identity"] for member in self.node_state.tables.core}
+        return self.node_state.tables.voter_identities()
 
     def _stale(self, now):
         age = self.node_state.age(now)
--- a/src/willowpost/registry/calls/change_carrier.py
+++ b/src/willowpost/registry/calls/change_carrier.py
@@ -28,21 +28,23 @@
     def fields(self, tables: Tables) -> dict[str, Any]:
         """Return the fields to replace in the operation, by the tables held here."""
         fields: dict[str, Any] = (
-            {"as_of_version": tables.configuration["version"]}
+            {"known_version": tables.configuration.version}
             if self.proposal.version is None
             else {}
         )
         return fields | self._difference(tables)
 
     def _difference(self, tables: Tables) -> dict[str, Any]:
-        proposal, newest = self.proposal, tables.changes.newest()
+        proposal, newest = self.proposal, tables.configuration_changes.newest()
         held = tables.configuration
-        if proposal.tree is None or newest is None or not held["tree"]:
+        if proposal.tree is None or newest is None or not held.tree:
             return {}
         if not self.differences_left:
             return {}
         self.differences_left -= 1
-        delta = ConfigurationDelta.between(held, proposal.tree, proposal.source)
+        delta = ConfigurationDelta.between(
+            held.tree, held.source, proposal.tree, proposal.source
+        )
         if delta.size() > WORTHWHILE_PART * self._whole_size():
             return {}
         return {
--- a/src/willowpost/registry/calls/configuration_answers.py
+++ b/src/willowpost/registry/calls/configuration_answers.py
@@ -1,28 +1,29 @@
 """Answers to the calls that change the configuration."""
 
 from willowpost.shell.web import Answer
-from willowpost.state.configuration_changes import ChangeRefusal
+from willowpost.state.results import ConfigurationAccepted, Reason, Rejected
 
 REFUSALS = {
-    ChangeRefusal.OTHER_CONTENT.value: (409, "version"),
-    ChangeRefusal.KEY_REUSED.value: (422, "Idempotency-Key"),
+    Reason.OTHER_CONTENT: (409, "version"),
+    Reason.KEY_REUSED: (422, "Idempotency-Key"),
 }
 
 
-def accepted_change(answer: dict, slot: int) -> Answer:
+def accepted_change(result: ConfigurationAccepted, slot: int) -> Answer:
     """Return the answer to a proposal that the log accepted, now or before."""
-    told = {name: answer[name] for name in ("version", "changed", "held") if name in answer}
-    return Answer(200, {**told, "slot": slot}, version_tag(answer))
+    content = {"version": result.version, "changed": result.is_changed}
+    if result.version_in_force is not None:
+        content["held"] = result.version_in_force
+    return Answer(200, {**content, "slot": slot}, version_tag(result.version))
 
 
-def not_accepted(answer: dict) -> Answer:
+def not_accepted(result: Rejected) -> Answer:
     """Return the answer to a proposal that the log refused."""
-    why = answer["why"]
-    if why == ChangeRefusal.STALE.value:
-        return moved_on_answer(answer)
-    code, place = REFUSALS.get(why, (409, "configuration"))
-    finding = {"place": place, "finding": why}
-    return Answer(code, {"findings": [finding], "version": answer["version"]})
+    if result.reason == Reason.STALE_VERSION:
+        return moved_on_answer(result.version)
+    code, place = REFUSALS.get(result.reason, (409, "configuration"))
+    finding = {"place": place, "finding": result.reason}
+    return Answer(code, {"findings": [finding], "version": result.version})
 
 
 def nothing_to_patch() -> Answer:
@@ -31,17 +32,17 @@
     return Answer(409, {"findings": [finding]})
 
 
-def version_tag(held: dict) -> tuple[tuple[str, str], ...]:
+def version_tag(version: int) -> tuple[tuple[str, str], ...]:
     """Return the header that names a version."""
-    return (("ETag", f'"{held["version"]}"'),)
+    return (("ETag", f'"{version}"'),)
 
 
-def moved_on_answer(held: dict) -> Answer:
+def moved_on_answer(version: int) -> Answer:
     """Return the answer to a call whose `If-Match` names another version."""
     return Answer(
         412,
         {
-            "findings": [{"place": "If-Match", "finding": f"the version is {held['version']}"}],
-            "version": held["version"],
+            "findings": [{"place": "If-Match", "finding": f"the version is {version}"}],
+            "version": version,
         },
     )
--- a/src/willowpost/registry/calls/configurations.py
+++ b/src/willowpost/registry/calls/configurations.py
@@ -26,6 +26,7 @@
     ConfigurationProposal,
     content_digest,
 )
+from willowpost.state.results import ConfigurationAccepted
 from willowpost.state.tables import Tables
 from willowpost.toolbox.planner import ConfigurationPlanner
 
@@ -75,11 +76,11 @@
         if not self.control_api.read(self.control_api.deadline(call)):
             return unread()
         held = self.node_state.tables.configuration
-        source = {"source": held["source"]} if held.get("source") is not None else {}
+        source = {"source": held.source} if held.source is not None else {}
         return Answer(
             200,
-            {"version": held["version"], "configuration": held["tree"], **source},
-            version_tag(held),
+            {"version": held.version, "configuration": held.tree, **source},
+            version_tag(held.version),
         )
 
     def _put(self, call: Call) -> Answer:
@@ -108,7 +109,7 @@
         replaces nothing newer.
         """
         return self.control_api.accepted(
-            proposal.as_op(),
+            proposal,
             accepted_change,
             deadline,
             refused=not_accepted,
@@ -127,7 +128,7 @@
             return unfit(read.unwrap_err())
         proposal = read.unwrap()
         held = self.node_state.tables.configuration
-        if proposal.version <= held["version"] and held["tree"] is not None:
+        if proposal.version <= held.version and held.tree is not None:
             # The log is never behind these tables and its version only goes up: it compares the
             # digest and need not carry the tree again.
             proposal = replace(proposal, tree=None, source=None)
@@ -186,14 +187,16 @@
         proposal = ConfigurationProposal(
             patch=patch.digest, if_match=required.version, key=required.key
         )
-        moved_on = required.version not in (None, held["version"])
-        if moved_on or tables.changes.by_key(required.key) is not None:
+        moved_on = required.version not in (None, held.version)
+        if moved_on or tables.configuration_changes.by_key(required.key) is not None:
             return self._propose(proposal, deadline)  # the log knows whether it is a repeat
-        if held["tree"] is None:
+        if held.tree is None:
             return nothing_to_patch()
-        applied = patch.applied(held["tree"], self.checker)
+        applied = patch.applied(held.tree, self.checker)
         if required == Preconditions() and _stands(tables, patch, applied):
-            return accepted_change({"version": held["version"], "changed": False}, tables.slot - 1)
+            return accepted_change(
+                ConfigurationAccepted(held.version, is_changed=False), tables.slot - 1
+            )
         if applied.is_err():
             return unfit(applied.unwrap_err())
         tree = applied.unwrap()
@@ -202,7 +205,7 @@
                 proposal,
                 tree=tree,
                 content=content_digest(tree, None),
-                if_match=held["version"],
+                if_match=held.version,
             ),
             deadline,
         )
@@ -213,11 +216,11 @@
             return read.unwrap_err()
         patch, required = read.unwrap()
         held = self.node_state.tables.configuration
-        if required.version not in (None, held["version"]):
-            return moved_on_answer(held)
-        if held["tree"] is None:
+        if required.version not in (None, held.version):
+            return moved_on_answer(held.version)
+        if held.tree is None:
             return nothing_to_patch()
-        applied = patch.applied(held["tree"], self.checker)
+        applied = patch.applied(held.tree, self.checker)
         return unfit(applied.unwrap_err()) if applied.is_err() else self._planned(applied.unwrap())
 
     def _patch_call(self, call: Call, deadline: int) -> Result[tuple[Patch, Preconditions], Answer]:
@@ -239,6 +242,6 @@
     It changes nothing, or it made the version in force and does not apply a second time.
     """
     if applied.is_err():
-        newest = tables.changes.newest()
+        newest = tables.configuration_changes.newest()
         return newest is not None and newest.patch == patch.digest
-    return applied.unwrap() == tables.configuration["tree"]
+    return applied.unwrap() == tables.configuration.tree
--- a/src/willowpost/registry/calls/control_api.py
+++ b/src/willowpost/registry/calls/control_api.py
@@ -5,13 +5,16 @@
 """
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
+from typing import Any
 
 import gevent
 
 from willowpost.common.clock import SECOND
 from willowpost.shell.web import Answer, Call, reject
-from willowpost.state.lifecycle import SUPERSEDED
+from willowpost.state.codec import OPERATION_NAMES
+from willowpost.state.operations import Operation
+from willowpost.state.results import Reason, Rejected, Result
 from willowpost.state.tables import Tables
 
 # Within these an answer is on its way before the caller has waited for a second.
@@ -29,15 +32,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What the log did with operations: the slot that carried them and an answer for each."""
+    """What the log did with operations: the slot that carried them and a result for each."""
 
     slot: int
-    answers: tuple[dict, ...]
+    results: tuple[Result, ...]
 
     @property
     def superseded(self) -> bool:
         """Whether the log refused an operation since what it was based on has changed."""
-        return any(answer.get("why") == SUPERSEDED for answer in self.answers)
+        return any(
+            isinstance(result, Rejected) and result.reason == Reason.SUPERSEDED
+            for result in self.results
+        )
 
 
 class ControlApi:
@@ -71,23 +77,23 @@
 
     def accepted(
         self,
-        op: dict,
-        answered: Callable[[dict, int], Answer],
+        operation: Operation,
+        answered: Callable[[Any, int], Answer],
         deadline: int | None = None,
         follow: bool = True,
-        refused: Callable[[dict], Answer] | None = None,
-        fence: Callable[[Tables], dict] | None = None,
+        refused: Callable[[Rejected], Answer] | None = None,
+        fence: Callable[[Tables], dict[str, Any]] | None = None,
     ) -> Answer:
         """Have one operation accepted by the log and make the answer to the call.
 
         Args:
-            op: the operation.
-            answered: makes the answer, of the log's own answer and the slot.
+            operation: the operation.
+            answered: makes the answer, of the log's result and the slot.
             deadline: as deadline() returns it; by default, that of a small call that has just come.
             follow: whether to wait, at most until the deadline, for the tables held here to reach
                 the slot, so that the caller may continue here at once.
             refused: makes the answer to what the log refused; by default a conflict.
-            fence: makes the fields, of the tables held here, by which the log refuses the operation
+            fence: makes the attributes, of the tables held here, by which the log refuses the operation
                 if what it replaces has changed since (`SUPERSEDED`). As long as the caller waits,
                 it is then submitted again on top of the newer tables.
         """
@@ -95,23 +101,23 @@
         deadline = max(deadline, self.now() + ACCEPT_SPAN_LEAST)
         if not self._reconnected():
             return out_of_touch()
-        outcome = self._submit((op,), deadline, fence)
+        outcome = self._submit((operation,), deadline, fence)
         while outcome is not None and outcome.superseded:
             if not self._followed(outcome.slot, deadline):
                 return superseded()
-            outcome = self._submit((op,), deadline, fence)
+            outcome = self._submit((operation,), deadline, fence)
         if outcome is None:
             return unknown()
         if follow:
             self._followed(outcome.slot, deadline)
-        answer = outcome.answers[0]
-        if answer["ok"]:
-            return answered(answer, outcome.slot)
-        return refused(answer) if refused else _conflict(op, answer)
+        result = outcome.results[0]
+        if result.is_accepted:
+            return answered(result, outcome.slot)
+        return refused(result) if refused else _conflict(operation, result)
 
     def accepted_all(
         self,
-        batches: list[list[dict]],
+        batches: list[list[Operation]],
         answered: Callable[[int], Answer],
         deadline: int | None = None,
     ) -> Answer:
@@ -154,17 +160,17 @@
     def _followed(self, slot, deadline):
         return self._until(lambda: self.node_state.tables.slot > slot, deadline)
 
-    def _submit(self, ops, deadline, fence=None) -> Outcome | None:
+    def _submit(self, operations, deadline, fence=None) -> Outcome | None:
         left = deadline - self.now()
         if left <= 0:
             return None
         if fence is not None:
             fields = fence(self.node_state.tables)
-            ops = tuple({**op, **fields} for op in ops)
-        reply = self.runner.ask(*ops, timeout=left / SECOND)
-        if reply is None or reply["answers"] is None:
+            operations = tuple(replace(operation, **fields) for operation in operations)
+        outcome = self.runner.ask(*operations, timeout=left / SECOND)
+        if outcome is None or outcome.results is None:
             return None
-        return Outcome(reply["slot"], tuple(reply["answers"]))
+        return Outcome(outcome.slot, outcome.results)
 
     def _until(self, condition, deadline, worthwhile=lambda: True) -> bool:
         while not condition():
@@ -176,7 +182,7 @@
 
 def as_of_slot(tables: Tables) -> dict:
     """Return the fence of operations on what the tables keep with the slot of its last change."""
-    return {"as_of": tables.slot}
+    return {"known_slot": tables.slot}
 
 
 def unknown() -> Answer:
@@ -199,5 +205,6 @@
     return reject(503, "no quorum read in time", outcome="not-run")
 
 
-def _conflict(op, answer):
-    return Answer(409, {"findings": [{"place": op["op"], "finding": answer["why"]}]})
+def _conflict(operation: Operation, rejected: Rejected) -> Answer:
+    finding = {"place": OPERATION_NAMES[type(operation)], "finding": rejected.reason}
+    return Answer(409, {"findings": [finding]})
--- a/src/willowpost/registry/calls/orders.py
+++ b/src/willowpost/registry/calls/orders.py
@@ -8,6 +8,7 @@
 from willowpost.registry.calls.body import Strict, parsed
 from willowpost.registry.calls.control_api import ControlApi, as_of_slot, unread
 from willowpost.shell.web import Answer, Call
+from willowpost.state.operations import EvacuateZone, PurgeCache
 from willowpost.toolbox.planner import ZonePlanner
 
 SMALL = 64 * 1024
@@ -95,17 +96,12 @@
         name = call.params[0]
         what = {"what": read.unwrap().what} if empty else {}
         return self.control_api.accepted(
-            {"op": "zone", "zone": name, "empty": empty, **what},
+            EvacuateZone(name, is_evacuated=empty, scope=what.get("what")),
             lambda answer, slot: Answer(200, {"zone": name, "empty": empty, **what, "slot": slot}),
             deadline,
             fence=as_of_slot,
         )
 
 
-def _purge_op(item: PurgeItem) -> dict:
-    return {
-        "op": "purge",
-        "host": item.host,
-        "kind": item.kind,
-        "path": item.tag or item.path or "",
-    }
+def _purge_op(item: PurgeItem) -> PurgeCache:
+    return PurgeCache(kind=item.kind, host=item.host, path=item.tag or item.path or "")
--- a/src/willowpost/registry/calls/origins.py
+++ b/src/willowpost/registry/calls/origins.py
@@ -12,8 +12,10 @@
 from willowpost.registry.origin_lookup import origin_at, same_incarnation
 from willowpost.shell.settings import Address
 from willowpost.shell.web import Answer, Call
-from willowpost.state.apply.origins import OVER, named
+from willowpost.state.apply.origins import origin_with_token
 from willowpost.state.lifecycle import OriginState
+from willowpost.state.operations import ChangeOriginState, EndOrigin, RegisterOrigin
+from willowpost.state.results import Reason
 from willowpost.wire.messages import OriginHeartbeat
 
 SMALL = 64 * 1024
@@ -106,21 +108,22 @@
 
     def _entered(self, origin, code, **how) -> Answer:
         rate = _rate(origin)
-        op = {
-            "op": "register",
-            **origin.model_dump(
-                include={"service", "address", "zone", "token", "slots"}, exclude_none=True
-            ),
-            "rate": rate,
-            "cold_rate": origin.cold_rate or rate / 10,
-            **({"number": origin.number} if origin.number else {}),
-            **({"cold": origin.cold_ms > 0} if origin.cold_ms is not None else {}),
-            **({"state": DRAINING} if origin.state == DRAINING else {}),
-        }
+        operation = RegisterOrigin(
+            address=origin.address,
+            service=origin.service,
+            zone=origin.zone,
+            rate=rate,
+            slow_start_rate=origin.cold_rate or rate / 10,
+            token=origin.token,
+            slots=origin.slots,
+            heartbeat_number=origin.number,
+            is_draining=origin.state == DRAINING,
+            is_warming_up=None if origin.cold_ms is None else origin.cold_ms > 0,
+        )
         return self.control_api.accepted(
-            op,
-            lambda answer, slot: Answer(
-                code, {"origin": answer["origin"], "state": answer["state"], "slot": slot}
+            operation,
+            lambda result, slot: Answer(
+                code, {"origin": result.origin, "state": result.state, "slot": slot}
             ),
             fence=as_of_slot,
             **how,
@@ -138,21 +141,24 @@
         if read.is_err():
             return read.unwrap_err()
         origin = read.unwrap()
-        if origin.token in self.tables.ended:
+        if origin.token in self.tables.ended_tokens:
             return _over()
         name = self._incarnation(origin, deadline)
-        state = self.tables.origins.get(name, {}).get("state", GONE)
+        known = self.tables.origins.get(name)
+        state = GONE if known is None else known.state
         if name is not None and (origin.state != DRAINING or state == DRAINING):
             return self._heard(name, state, origin)
         if name is not None and origin.token is None:
-            return self._turned({"op": "turn", "origin": name, "state": DRAINING}, deadline)
+            return self._turned(ChangeOriginState(DRAINING, name), deadline, name)
         # An incarnation is registered once, whoever submits it: no read before, no wait after.
         return self._entered(
             origin,
             200 if origin.token else 201,
             deadline=deadline,
             follow=origin.token is None,
-            refused=lambda answer: _over() if answer["why"] == OVER else _refused(answer),
+            refused=lambda result: (
+                _over() if result.reason == Reason.INCARNATION_ENDED else _refused(result)
+            ),
         )
 
     def _heard(self, name: str, state: str, origin: OriginCall) -> Answer:
@@ -193,24 +199,27 @@
             name = origin_at(self.tables, leaving.address, leaving.service)
         if name is None:
             return _unknown("address")
-        return self._turned({"op": "turn", "origin": name, "state": state}, deadline)
+        return self._turned(ChangeOriginState(state, name), deadline, name)
 
     def _turn_life(self, token: str, state: str, deadline: int) -> Answer:
         if state == GONE:
-            op = {"op": "end", "token": token}
+            operation = EndOrigin(token)
         else:
-            op = {"op": "turn", "token": token, "state": state}
-        return self._turned(op, deadline, named(self.tables, token), follow=False)
+            operation = ChangeOriginState(state, token=token)
+        name = origin_with_token(self.tables, token)
+        return self._turned(operation, deadline, name, follow=False)
 
-    def _turned(self, op, deadline, name=None, follow=True):
+    def _turned(self, operation, deadline, name, follow=True):
         return self.control_api.accepted(
-            op,
-            lambda answer, slot: Answer(
-                200, {"origin": op.get("origin", name), "state": answer["state"], "slot": slot}
+            operation,
+            lambda result, slot: Answer(
+                200, {"origin": name, "state": result.state, "slot": slot}
             ),
             deadline,
             follow=follow,
-            refused=lambda answer: _unknown("token") if "token" in op else _refused(answer),
+            refused=lambda result: (
+                _refused(result) if operation.token is None else _unknown("token")
+            ),
         )
 
 
@@ -233,5 +242,5 @@
     return Answer(404, {"findings": [{"place": place, "finding": "no such origin"}]})
 
 
-def _refused(answer) -> Answer:
-    return Answer(409, {"findings": [{"place": "origin", "finding": answer["why"]}]})
+def _refused(result) -> Answer:
+    return Answer(409, {"findings": [{"place": "origin", "finding": result.reason}]})
--- a/src/willowpost/registry/daemon.py
+++ b/src/willowpost/registry/daemon.py
@@ -5,6 +5,7 @@
 from willowpost.common.clock import Clock
 from willowpost.node.node_state import DaemonDescriptor
 from willowpost.registry.front import Front
+from willowpost.registry.origin_health import HealthCheckFinished
 from willowpost.registry.node import RegistryNode
 from willowpost.shell.probe import probe_status
 from willowpost.shell.runner import Runner
@@ -36,7 +37,7 @@
     def _probe(self, origin, address, path):
         status = probe_status(address, path or "/", PROBE_SECONDS)
         sound = status is not None and status < UNSOUND_FROM
-        self.runner.inbox.put(("probed", origin, sound))
+        self.runner.inbox.put(HealthCheckFinished(origin, sound))
 
 
 class RegistryDaemon:
--- a/src/willowpost/registry/origin_health.py
+++ b/src/willowpost/registry/origin_health.py
@@ -9,6 +9,8 @@
 from willowpost.common.events import SubmitOperations, Received, Tick
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
+from willowpost.state.lifecycle import OriginState
+from willowpost.state.operations import ChangeOriginState
 from willowpost.wire.messages import OriginHeartbeat
 
 LOOK_EVERY = 100 * MILLI
@@ -34,6 +36,19 @@
     told: bool = False
 
 
+@dataclass(frozen=True, slots=True)
+class HealthCheckFinished:
+    """The outcome of a health check.
+
+    Attributes:
+        origin: its name in the tables.
+        is_healthy: whether it answered in time, and not with a server error.
+    """
+
+    origin: str
+    is_healthy: bool
+
+
 class OriginHealthMonitor:
     """Passes heartbeats on and proposes changes of the origins' states to the log.
 
@@ -72,11 +87,9 @@
         match event:
             case Received(_, OriginHeartbeat() as beat) if not self._late(beat):
                 self._hear(beat, now)
-            case ("beat", origin, load):
-                self._take(HeartbeatReceived(OriginHeartbeat(origin, load)), now, plan)
             case HeartbeatReceived(beat) if not self._late(beat):
                 self._take(event, now, plan)
-            case ("probed", origin, sound):
+            case HealthCheckFinished(origin, sound):
                 self.failed[origin] = 0 if sound else self.failed.get(origin, 0) + 1
                 if sound:
                     self.heard[origin] = now
@@ -98,17 +111,19 @@
         beat = heard.beat
         self._hear(beat, now)
         plan.sends += [(address, beat) for address in self._others()]
-        held = self.node_state.tables.origins.get(beat.origin, {}).get("state")
-        wanted = "cold" if beat.cold else "warm"
-        if heard.told and held in ("cold", "warm") and held != wanted:
-            self._propose(beat.origin, wanted, now, plan, told=True, **self._fences(beat))
+        origin = self.node_state.tables.origins.get(beat.origin)
+        wanted = OriginState.WARMING_UP if beat.cold else OriginState.WARM
+        if heard.told and origin is not None and origin.is_in_force and origin.state != wanted:
+            self._propose(
+                beat.origin, wanted, now, plan, reports_warm_up=True, **self._fences(beat)
+            )
 
     def _others(self):
         """Addresses that need every heartbeat: the other live registries, and the proxies."""
         return [
-            card["address"]
+            daemon.address
             for kind in ("registry", "proxy")
-            for name, card in self.node_state.live(kind).items()
+            for name, daemon in self.node_state.live(kind).items()
             if name != self.node_state.descriptor.id
         ]
 
@@ -117,8 +132,8 @@
 
         For a warm origin the slot tells which restoring of its zone this registry knew of.
         """
-        number = {"number": beat.number} if beat.number else {}
-        return number if beat.cold else {**number, "as_of": self.node_state.tables.slot}
+        number = {"heartbeat_number": beat.number} if beat.number else {}
+        return number if beat.cold else {**number, "known_slot": self.node_state.tables.slot}
 
     def _look(self, now, plan):
         tables = self.node_state.tables
@@ -126,11 +141,11 @@
         self._forget(tables.origins)
         if not self._informed(live, now):
             self.unaware_at = now
-        services = (tables.configuration["tree"] or {}).get("services", {})
+        services = tables.configuration.services
         for origin, card in tables.origins.items():
-            since = self._state_since(origin, card["state"], now)
+            since = self._state_since(origin, card.state, now)
             if self.unaware_at != now and self._owned(origin, live):
-                self._care(origin, card, since, services.get(card["service"], {}), now, plan)
+                self._care(origin, card, since, services.get(card.service, {}), now, plan)
 
     def _forget(self, origins):
         """Drop the state of origins that the tables no longer hold."""
@@ -165,17 +180,26 @@
         quiet = now - max(self.heard.setdefault(origin, now), self.unaware_at)
         if quiet > silent // 2 and now - self.probed_at.get(origin, -PROBE_EVERY) >= PROBE_EVERY:
             self.probed_at[origin] = now
-            self.probe(origin, card["address"], service.get("health_check_path"))
+            self.probe(origin, card.address, service.get("health_check_path"))
         if quiet > silent or (quiet > silent // 2 and self.failed.get(origin, 0) >= PROBES_FAILED):
-            self._turn(origin, "gone", now, plan, silent=True, by=self.node_state.descriptor.id)
-        elif card["state"] == "waiting" and now - since > ENTER_AFTER:
-            self._turn(origin, "cold", now, plan)
+            self._turn(
+                origin,
+                OriginState.GONE,
+                now,
+                plan,
+                timed_out=True,
+                registry=self.node_state.descriptor.id,
+            )
+        elif card.state is OriginState.WAITING and now - since > ENTER_AFTER:
+            self._turn(origin, OriginState.WARMING_UP, now, plan)
         elif (
-            card["state"] == "cold"
-            and not card.get("told")
+            card.state is OriginState.WARMING_UP
+            and not card.reports_warm_up
             and now - since > int(service.get("ramp_seconds", 10.0) * SECOND)
         ):
-            self._turn(origin, "warm", now, plan, as_of=self.node_state.tables.slot)
+            self._turn(
+                origin, OriginState.WARM, now, plan, known_slot=self.node_state.tables.slot
+            )
 
     def _turn(self, origin, state, now, plan, **more):
         if now - self.asked_at.get(origin, -ASK_EVERY) >= ASK_EVERY:
@@ -183,6 +207,10 @@
             self._propose(origin, state, now, plan, **more)
 
     def _propose(self, origin, state, now, plan, **more):
-        op = {"op": "turn", "origin": origin, "state": state, **more}
-        plan.join(self.command_client.step(SubmitOperations(None, (op,), PROPOSAL_LIFETIME), now))
+        operation = ChangeOriginState(state, origin, **more)
+        plan.join(
+            self.command_client.step(
+                SubmitOperations(None, (operation,), PROPOSAL_LIFETIME), now
+            )
+        )
         plan.log("origins", "proposes a turn", origin=origin, state=state)
--- a/src/willowpost/registry/origin_lookup.py
+++ b/src/willowpost/registry/origin_lookup.py
@@ -8,8 +8,8 @@
     return next(
         (
             name
-            for name, card in tables.origins.items()
-            if card["address"] == address and service in (None, card["service"])
+            for name, origin in tables.origins.items()
+            if origin.address == address and service in (None, origin.service)
         ),
         None,
     )
@@ -22,4 +22,4 @@
     from another incarnation, which must register anew.
     """
     name = origin_at(tables, address, service)
-    return name if name is not None and tables.origins[name].get("token") == token else None
+    return name if name is not None and tables.origins[name].token == token else None
--- a/src/willowpost/registry/removal.py
+++ b/src/willowpost/registry/removal.py
@@ -2,7 +2,7 @@
 
 from dataclasses import asdict, dataclass
 
-from willowpost.state.apply.voters import is_settled
+from willowpost.state.apply.voters import is_change_complete
 from willowpost.state.lifecycle import DaemonState
 from willowpost.state.tables import Tables
 
@@ -36,11 +36,12 @@
 def _reasons(tables, fresh):
     if not fresh:
         yield "this registry is out of touch with the core"
-    if not tables.core:
+    if not tables.voters:
         yield "the fleet is not founded"
-    if not is_settled(tables):
+    if not is_change_complete(tables):
         yield "the last change of the voters is not finished"
-    for member in tables.core:
-        state = tables.daemons.get(member["identity"], {}).get("state", "not joined")
-        if state != DaemonState.UP.value:
-            yield f"voter {member['name']} is {state}"
+    for voter in tables.voters:
+        daemon = tables.daemons.get(voter.identity)
+        state = "not joined" if daemon is None else daemon.state
+        if state != DaemonState.UP:
+            yield f"voter {voter.name} is {state}"
--- a/src/willowpost/registry/status.py
+++ b/src/willowpost/registry/status.py
@@ -4,6 +4,10 @@
 
 from willowpost.configuration.routes import routes_of
 from willowpost.registry.removal import safe_to_remove
+from willowpost.state.codec import FAILURE_VERDICT, MEMBER, ORIGIN, OWNERSHIP, ZONE_EVACUATION
+from willowpost.state.tables import Tables
+
+DAEMON_ATTRIBUTES = ("kind", "role", "name", "zone", "address", "http", "state")
 
 
 class StatusPage:
@@ -33,41 +37,44 @@
             "epoch": tables.epoch,
             "digest": tables.digest(),
             "core": [
-                {
-                    **member,
-                    "state": tables.daemons.get(member["identity"], {}).get("state", "unknown"),
-                }
-                for member in tables.core
+                {**MEMBER.encode(voter), "state": _state_of(tables, voter.identity)}
+                for voter in tables.voters
             ],
             "safe_to_remove": safe_to_remove(tables, node_state.ruling(now)).as_json(),
             "daemons": {
                 name: {
-                    key: card[key]
-                    for key in ("kind", "role", "name", "zone", "address", "http", "state")
+                    attribute: getattr(daemon, attribute) for attribute in DAEMON_ATTRIBUTES
                 }
-                for name, card in sorted(tables.daemons.items())
+                for name, daemon in sorted(tables.daemons.items())
             },
             "configuration": {
-                "version": tables.configuration["version"],
+                "version": tables.configuration.version,
                 **self._routes(tables.configuration),
             },
-            "origins": tables.origins,
-            "origin_states": Counter(card["state"] for card in tables.origins.values()),
-            "ended": len(tables.ended),
-            "zones": tables.zones,
-            "fences": tables.fences,
-            "failure_verdicts": list(tables.failure_verdicts),
+            "origins": {name: ORIGIN.encode(origin) for name, origin in tables.origins.items()},
+            "origin_states": Counter(origin.state for origin in tables.origins.values()),
+            "ended": len(tables.ended_tokens),
+            "zones": {
+                zone: ZONE_EVACUATION.encode(order)
+                for zone, order in tables.zone_evacuations.items()
+            },
+            "fences": {
+                key: OWNERSHIP.encode(ownership) for key, ownership in tables.ownerships.items()
+            },
+            "failure_verdicts": [
+                FAILURE_VERDICT.encode(verdict) for verdict in tables.failure_verdicts
+            ],
             "open": [
-                failure_verdict
-                for failure_verdict in tables.failure_verdicts
-                if failure_verdict["repaired"] is None
+                FAILURE_VERDICT.encode(verdict)
+                for verdict in tables.failure_verdicts
+                if verdict.repaired_slot is None
             ],
         }
 
     def _routes(self, configuration):
         """Return how many routes there are, of which kinds, and how many split requests."""
         if self.counted[0] is not configuration:
-            routes = routes_of(configuration["tree"]) if configuration["tree"] else ()
+            routes = routes_of(configuration.tree) if configuration.tree else ()
             self.counted = (
                 configuration,
                 {
@@ -77,3 +84,8 @@
                 },
             )
         return self.counted[1]
+
+
+def _state_of(tables: Tables, identity: str) -> str:
+    daemon = tables.daemons.get(identity)
+    return "unknown" if daemon is None else daemon.state
--- a/src/willowpost/shell/runner.py
+++ b/src/willowpost/shell/runner.py
@@ -52,9 +52,9 @@
         self.logger.log("program", "broke down", level="critical", problem=repr(task.exception))
         self.die(BROKE_DOWN)
 
-    def ask(self, *ops, timeout: float = 2.0):
+    def ask(self, *operations, timeout: float = 2.0):
         """Submits operations to the log; their outcome, or None after `timeout` seconds."""
-        return self.want(lambda token: SubmitOperations(token, ops), timeout)
+        return self.want(lambda token: SubmitOperations(token, operations), timeout)
 
     def want(self, make, timeout: float):
         """Gives the node an event with a new token and waits for the reply.
@@ -117,5 +117,5 @@
             waiter = self.waiters.get(token)
             if waiter is not None:
                 waiter.set(result)
-        for part, sentence, more in plan.notes:
+        for part, sentence, more in plan.log_entries:
             self.logger.log(part, sentence, **more)
--- a/src/willowpost/shell/segment_format.py
+++ b/src/willowpost/shell/segment_format.py
@@ -14,7 +14,7 @@
 CHECKSUM_DIGITS = 8
 
 
-class DiskDamagedError(Exception):
+class DiskDamagedError(WillowpostError):
     """Records after a bad one, or no header: more than a torn tail.
 
     The disk cannot be trusted; its identity is lost.
--- a/src/willowpost/shell/structured_log.py
+++ b/src/willowpost/shell/structured_log.py
@@ -22,10 +22,10 @@
         )
         self.logger.addHandler(handler)
 
-    def heed(self, level: str) -> None:
+    def set_level(self, level: str) -> None:
         """Log from this level on."""
         self.logger.setLevel(getattr(logging, level))
 
-    def say(self, part: str, sentence: str, level: str = "info", **more: Any) -> None:
+    def log(self, part: str, sentence: str, level: str = "info", **more: Any) -> None:
         """Log a sentence of a part, with fields."""
         getattr(self.logger, level)(f"{part}: {sentence}", extra=more)
--- a/src/willowpost/store/graceful_shutdown.py
+++ b/src/willowpost/store/graceful_shutdown.py
@@ -14,12 +14,13 @@
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
-from willowpost.consensus.replica.barrier import former_identities
+from willowpost.consensus.replica.barrier import previous_identities
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.node.command_client import CommandClient
 from willowpost.node.join import FleetJoin
 from willowpost.node.graceful_shutdown import ShutdownRequested
-from willowpost.state.apply.voters import is_settled, successor_of
+from willowpost.state.apply.voters import is_change_complete, successor_of
+from willowpost.state.operations import DrainDaemon
 from willowpost.store.voter_repair import VoterRepair
 
 
@@ -93,7 +94,7 @@
         self.end_by = now + self.spans.handover
         self._move(StoreShutdownStage.HANDING_OVER, plan)
         identity = self.node_state.me.identity
-        op = {"op": "drain", "id": identity, "incarnation": self.incarnation}
+        op = DrainDaemon(identity, self.incarnation)
         plan.join(self.command_client.step(SubmitOperations(None, (op,), self.spans.handover), now))
 
     def _tick(self, now, plan):
@@ -118,8 +119,8 @@
         """
         node_state, me = self.node_state, self.node_state.me.identity
         if not node_state.voter:
-            replaced = me in former_identities(node_state.tables)
-            return not replaced or is_settled(node_state.tables)
+            replaced = me in previous_identities(node_state.tables)
+            return not replaced or is_change_complete(node_state.tables)
         others = [identity for identity in node_state.members if identity != me]
         holding = sum(
             node_state.synced_indexes.get(identity, 0) >= node_state.tables.slot
--- a/src/willowpost/store/node.py
+++ b/src/willowpost/store/node.py
@@ -14,7 +14,7 @@
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.command_client import CommandClient
 from willowpost.node.join import FleetJoin
-from willowpost.node.node_state import DaemonDescriptor
+from willowpost.state.entries import DaemonDescriptor
 from willowpost.node.failure_detector import FailureDetector
 from willowpost.store.graceful_shutdown import StoreShutdown
 from willowpost.store.voter_repair import VoterRepair
--- a/src/willowpost/store/voter_repair.py
+++ b/src/willowpost/store/voter_repair.py
@@ -3,13 +3,17 @@
 It replaces a voter that is lost or leaves, or is one of two learners that the core grows by.
 """
 
-from dataclasses import asdict
-
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.state.apply.voters import is_settled, seat_for, with_voters_added
+from willowpost.state.apply.voters import (
+    is_change_complete,
+    replaceable_by,
+    was_lost_since,
+    with_voters_added,
+)
+from willowpost.state.operations import OfferVoter, OpenEpoch, ReplaceVoter
 
 ASK_EVERY = 1 * SECOND
 WHOLE_WITHIN = 500 * MILLI
@@ -67,7 +71,7 @@
         meanwhile.
         """
         tables = self.node_state.tables
-        if is_settled(tables):
+        if is_change_complete(tables):
             return Plan()
         if self.opening != tables.epoch:
             self.opening = tables.epoch
@@ -75,28 +79,22 @@
         if now < self.open_at:
             return Plan()
         self.open_at = now + ASK_EVERY
-        return self._ask({"op": "epoch_opened", "epoch": tables.epoch}, now, ASKED_FOR)
+        return self._ask(OpenEpoch(tables.epoch), now, ASKED_FOR)
 
     def _was_voter_before(self, tables) -> bool:
         me = self.node_state.me.identity
-        return any(member["identity"] == me for member in tables.former["core"])
+        return me in tables.previous_voters.identities()
 
     def _ask_for_seat(self, member, now) -> Plan:
-        learner = asdict(self.node_state.me)
-        op = {"op": "replace_voter", "old": member["identity"], "new": learner}
-        plan = self._ask(op, now, ASKED_FOR)
-        plan.log("repair", "asks for a voter's seat", replaced=member["name"])
+        operation = ReplaceVoter(member.identity, self.node_state.me)
+        plan = self._ask(operation, now, ASKED_FOR)
+        plan.log("repair", "asks for a voter's seat", replaced=member.name)
         return plan
 
     def _offer(self, now) -> Plan:
-        op = {
-            "op": "add_voters",
-            "learner": self.node_state.me.identity,
-            "incarnation": self.incarnation,
-            "most": self.max_voters,
-        }
-        plan = self._ask(op, now)
-        voters = len(self.node_state.tables.core)
+        offer = OfferVoter(self.node_state.me.identity, self.incarnation, self.max_voters)
+        plan = self._ask(offer, now)
+        voters = len(self.node_state.tables.voters)
         plan.log("repair", "offers itself as one more voter", voters=voters)
         return plan
 
@@ -110,7 +108,7 @@
 
     def _lost(self):
         """The voter to replace: the one formerly on this machine, a lost or a leaving one."""
-        return seat_for(self.node_state.tables, asdict(self.node_state.me))
+        return replaceable_by(self.node_state.tables, self.node_state.me)
 
     def _may_add_voters(self):
         """Whether to offer this store as one more voter.
@@ -119,16 +117,13 @@
         not each second while there is no second learner.
         """
         tables, me = self.node_state.tables, self.node_state.me.identity
-        card = tables.daemons.get(me)
+        learner = tables.daemons.get(me)
         if (
-            card is None
-            or card["incarnation"] != self.incarnation
-            or len(tables.core) + 2 > self.max_voters
+            learner is None
+            or learner.incarnation != self.incarnation
+            or len(tables.voters) + 2 > self.max_voters
         ):
             return False
-        offered = card.get("voter_offer")
-        void = offered is not None and any(
-            failure_verdict["daemon"] == me and failure_verdict["slot"] >= offered["slot"]
-            for failure_verdict in tables.failure_verdicts
-        )
+        offered = learner.voter_offer
+        void = offered is not None and was_lost_since(tables, learner, offered.slot)
         return offered is None or void or with_voters_added(tables, me) is not None
--- a/src/willowpost/toolbox/folder.py
+++ b/src/willowpost/toolbox/folder.py
@@ -118,7 +118,7 @@
             if slot is not None and tables.epoch and tables.slot >= slot:
                 break
             if record["k"] == RecordKind.FOUND:
-                tables = Tables(epoch=1, core=tuple(record["core"]))
+                tables = Tables(epoch=1, voters=founding_voters(record))
             elif record["k"] == RecordKind.SNAPSHOT:
                 tables = tables_from(record["text"])
             elif record["k"] == RecordKind.BALLOT_STATE:
--- a/src/willowpost/toolbox/planner.py
+++ b/src/willowpost/toolbox/planner.py
@@ -24,7 +24,7 @@
 
     def plan(self, tables: Tables, tree: dict[str, Any]) -> dict[str, Any]:
         """Routes and services that would be added, removed and changed, with warnings."""
-        held, wanted = tables.configuration["tree"], tree
+        held, wanted = tables.configuration.tree, tree
         before, after = _routes(held), _routes(wanted)
         services_before, services_after = (
             (held or {}).get("services", {}),
@@ -32,10 +32,10 @@
         )
         reached = {service for route in after.values() for service in route.services}
         in_force = {
-            card["service"] for card in tables.origins.values() if card["state"] in ("cold", "warm")
+            origin.service for origin in tables.origins.values() if origin.is_in_force
         }
         return {
-            "version": tables.configuration["version"],
+            "version": tables.configuration.version,
             "routes": {
                 "added": sorted(after.keys() - before.keys()),
                 "removed": sorted(before.keys() - after.keys()),
@@ -73,7 +73,7 @@
         before, after = SnapshotMaker().make(tables), SnapshotMaker().make(emptied)
         allowed = {
             name
-            for name, service in (tables.configuration["tree"] or {}).get("services", {}).items()
+            for name, service in tables.configuration.services.items()
             if service.get("rate") is not None
         }
         services: dict[str, dict[str, Any]] = {
@@ -90,14 +90,14 @@
         edges = [
             card
             for card in tables.daemons.values()
-            if card["kind"] == "proxy" and card["role"] == "edge" and card["state"] == "up"
+            if card.kind == "proxy" and card.role == "edge" and card.state is DaemonState.UP
         ]
         return {
             "zone": zone,
             "services": services,
             "shields": [len(before.shields), len(after.shields)],
-            "edges": [len(edges), sum(card["zone"] != zone for card in edges)],
-            "voters there, which stay": sum(member["zone"] == zone for member in tables.core),
+            "edges": [len(edges), sum(edge.zone != zone for edge in edges)],
+            "voters there, which stay": sum(voter.zone == zone for voter in tables.voters),
             "warnings": [
                 f"service {name} would have no origin in force"
                 for name, held in services.items()
--- a/tests/compatibility/test_operations.py
+++ b/tests/compatibility/test_operations.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from willowpost.consensus.replica.records import decision_from, decision_record
-from willowpost.state.apply import Apply
+from willowpost.state.apply import StateMachine
 from willowpost.state.tables import tables_from
 
 DATA = Path(__file__).parent.parent / "data" / "bf1d9c7"
@@ -30,7 +30,7 @@
         for line in map(json.loads, lines):
             decision, digest = decision_from(line), line.pop("digest")
             self.assertEqual(line, json.loads(json.dumps(decision_record(decision))))
-            tables = Apply().step(tables, decision)
+            tables = StateMachine().apply(tables, decision)
             text = held["texts"].get(str(line["slot"] + 1))
             if text is not None:
                 self.assertEqual(json.loads(text), json.loads(tables.text()))
--- a/tests/consensus/test_bootstrap.py
+++ b/tests/consensus/test_bootstrap.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest.mock import patch
 
-from willowpost.consensus.replica.bootstrap import Rights
+from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
 
@@ -17,8 +17,8 @@
 class Members(unittest.TestCase):
     def test_an_empty_fleet_that_may_not_found_never_does(self):
         for rights in (
-            Rights(may_bootstrap=False),
-            Rights(may_bootstrap=False, bootstrap_from_seeds=True, max_voters=5),
+            VoterPolicy(may_bootstrap=False),
+            VoterPolicy(may_bootstrap=False, bootstrap_from_seeds=True, max_voters=5),
         ):
             world = CoreWorld(3, zones=GROWING_ZONES, members=3, rights=rights)
             world.run(seconds(20))
@@ -33,12 +33,12 @@
 
     def test_two_that_may_and_one_that_may_not_do_not_found(self):
         world = CoreWorld(3, zones=("a", "b", "c"), members=3)
-        world.rights = Rights(may_bootstrap=False)
+        world.rights = VoterPolicy(may_bootstrap=False)
         world.crash("s2", lose_disk=True)
         world.start("s2")
         world.run(seconds(10))
         self.assertEqual({0}, set(epochs(world)))
-        world.rights = Rights()
+        world.rights = VoterPolicy()
         world.crash("s2", lose_disk=True)
         world.start("s2")
         self.assertTrue(world.until(world.bootstrapped, seconds(5)))
@@ -46,7 +46,7 @@
     def test_only_seeds_found_whoever_else_is_there_first(self):
         for seed in range(6):
             world = CoreWorld(
-                seed, zones=GROWING_ZONES, members=3, rights=Rights(bootstrap_from_seeds=True)
+                seed, zones=GROWING_ZONES, members=3, rights=VoterPolicy(bootstrap_from_seeds=True)
             )
             world.crash("s0")
             world.run(seconds(3))
@@ -64,7 +64,7 @@
     def test_more_seeds_than_members_found_one_fleet(self):
         for seed in range(6):
             world = CoreWorld(
-                seed, zones=("a", "b"), members=1, rights=Rights(bootstrap_from_seeds=True)
+                seed, zones=("a", "b"), members=1, rights=VoterPolicy(bootstrap_from_seeds=True)
             )
             world.cut(["s0"], ["s1"])
             world.run(seconds(3))
@@ -81,7 +81,7 @@
 
     def test_members_that_restart_before_they_promised_go_on_bootstrap(self):
         world = CoreWorld(
-            3, zones=("a", "b", "c"), members=3, rights=Rights(bootstrap_from_seeds=True)
+            3, zones=("a", "b", "c"), members=3, rights=VoterPolicy(bootstrap_from_seeds=True)
         )
         for name in world.names:
             world.crash(name)
@@ -94,7 +94,7 @@
             4,
             zones=("a", "b", "c"),
             members=3,
-            rights=Rights(bootstrap_from_seeds=True, max_voters=3),
+            rights=VoterPolicy(bootstrap_from_seeds=True, max_voters=3),
         )
         self.assertTrue(world.until(world.bootstrapped, seconds(5)))
         world.crash("s0")
--- a/tests/consensus/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -6,16 +6,16 @@
 
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.node.follower import Follower
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.shell.segment_format import segment_of
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
 from willowpost.state.snapshot_transfer import PIECE_BYTES
 from willowpost.state.tables import Tables, tables_from
 from willowpost.wire.codec import Codec
-from willowpost.wire.messages import StateUpdate, Tell
+from willowpost.wire.messages import StateUpdate, CatchupResponse
 
 ROUTES = 700
 FRAME_BYTES_MOST = 2 * 1024 * 1024  # what any message of catch-up stays below
@@ -43,14 +43,14 @@
 
     def __call__(self, world, seat, event, plan):
         for _, message in plan.sends:
-            if isinstance(message, (Tell, StateUpdate)):
+            if isinstance(message, (CatchupResponse, StateUpdate)):
                 self.largest = max(self.largest, len(CODEC.encode(seat.address, message)))
 
 
 class LargeCore:
     """Three stores that take large configurations one after the other."""
 
-    def __init__(self, seed, pace=Pace(), zones=("a", "b", "c")):
+    def __init__(self, seed, pace=ReplicaTuning(), zones=("a", "b", "c")):
         self.world = world = CoreWorld(seed, pace=pace, zones=zones, members=3)
         self.sizes = Sizes()
         world.checks.append(self.sizes)
@@ -99,7 +99,7 @@
         return core
 
     def test_it_takes_the_snapshot_in_pieces_and_then_the_log(self):
-        pace = Pace(keep=8, rotate=16)
+        pace = ReplicaTuning(keep=8, rotate=16)
         for lose_disk in (False, True):
             core = self.away(50, pace, lose_disk)
             self.assertIsNotNone(core.caught_up("s2"), lose_disk)
@@ -108,7 +108,7 @@
             core.world.settle(3)
 
     def test_decisions_are_told_in_frames_that_a_receiver_takes(self):
-        core = self.away(50, Pace())
+        core = self.away(50, ReplicaTuning())
         self.assertIsNotNone(core.caught_up("s2"))
         self.assertLess(core.sizes.largest, FRAME_BYTES_MOST)
 
@@ -119,12 +119,12 @@
         return partial
 
     def test_another_source_finishes_what_one_that_died_began(self):
-        core, told = self.away(50, Pace(keep=8, rotate=16), texts_held=True), []
+        core, told = self.away(50, ReplicaTuning(keep=8, rotate=16), texts_held=True), []
         core.world.checks.append(
             lambda world, seat, event, plan: told.extend(
                 (seat.address, message.piece.slot, message.piece.offset)
                 for address, message in plan.sends
-                if address == "s2" and isinstance(message, Tell) and message.piece is not None
+                if address == "s2" and isinstance(message, CatchupResponse) and message.piece is not None
             )
         )
         partial = self.begun(core)
@@ -138,14 +138,14 @@
 
     def test_a_source_that_is_cut_off_half_way_holds_nobody_up(self):
         for source in ("s0", "s1"):
-            core = self.away(50, Pace(keep=8, rotate=16))
+            core = self.away(50, ReplicaTuning(keep=8, rotate=16))
             self.begun(core)
             core.world.cut([source], ["s2"])
             core.change(3)
             self.assertIsNotNone(core.caught_up("s2"), source)
 
     def test_killed_at_any_piece_it_starts_from_its_disk_and_takes_the_snapshot_anew(self):
-        core = self.away(50, Pace(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
         for parts in (1, 2):
             self.begun(core, parts)
             core.world.crash("s2")
@@ -154,7 +154,7 @@
         core.world.settle(3)
 
     def test_killed_while_the_snapshot_is_written_it_has_the_old_disk_or_the_new(self):
-        core = self.away(50, Pace(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
         seat = core.world.seats["s2"]
         seat.crash_on_write = 1.0  # whatever it writes first is lost, and with it this life
         self.assertTrue(core.world.until(lambda: seat.node is None, seconds(5)))
@@ -165,7 +165,7 @@
 
     def test_slow_and_stalled_disks_delay_it_and_no_more(self):
         for trouble in ({"slowness": 30}, {"stalled_until": None}):
-            core = self.away(50, Pace(keep=8, rotate=16))
+            core = self.away(50, ReplicaTuning(keep=8, rotate=16))
             for name in ("s0", "s2"):  # the one that writes the snapshot, and a source
                 disk = core.world.seats[name].disk
                 if "slowness" in trouble:
@@ -175,7 +175,7 @@
             self.assertIsNotNone(core.caught_up("s2", 20), trouble)
 
     def test_a_text_is_made_once_for_all_that_are_behind(self):
-        core = self.away(50, Pace(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
         made = []
         tables = type(core.world.seats["s0"].node.node_state.tables)
         text = tables.text
@@ -198,15 +198,15 @@
         whole = Tables(slot=90, epoch=1, core=core, configuration=configuration)
         # "A:1" is a follower here too: whom it asks makes no difference
         self.nodes = {
-            "A:1": NodeState(self.card("A"), whole, fresh_as_of=0),
-            "r:1": NodeState(self.card("r"), seed_cores=("A:1",)),
+            "A:1": NodeState(self.descriptor("A"), whole, fresh_as_of=0),
+            "r:1": NodeState(self.descriptor("r"), seed_cores=("A:1",)),
         }
         self.followers = {
             address: Follower(node, [], tree=False) for address, node in self.nodes.items()
         }
 
     def card(self, name):
-        return Card(name, "registry", "core", name, "a", f"{name}:1", "", 7)
+        return DaemonDescriptor(name, "registry", "core", name, "a", f"{name}:1", "", 7)
 
     def run(self, span):
         """Until the second one is fresh; the time that it took in us, or None."""
@@ -253,7 +253,7 @@
 
 class Bounded(unittest.TestCase):
     def test_disk_and_log_do_not_grow_with_the_number_of_changes(self):
-        pace = Pace(keep_bytes=2 * 1024 * 1024, rotate_bytes=4 * 1024 * 1024)
+        pace = ReplicaTuning(keep_bytes=2 * 1024 * 1024, rotate_bytes=4 * 1024 * 1024)
         core, sizes = LargeCore(3, pace), []
         for _ in range(3):
             core.change(12)
--- a/tests/consensus/test_core_growth.py
+++ b/tests/consensus/test_core_growth.py
@@ -3,16 +3,16 @@
 import unittest
 from unittest.mock import patch
 
-from willowpost.consensus.replica.bootstrap import Rights
+from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.consensus.replica.voting import Voting
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import seconds
-from willowpost.store.repair import Repair
+from willowpost.store.voter_repair import VoterRepair
 
 GROWING_ZONES = ("a", "b", "c", "a", "b")
-RIGHTS = Rights(bootstrap_from_seeds=True, max_voters=5)
+RIGHTS = VoterPolicy(bootstrap_from_seeds=True, max_voters=5)
 
 
 def epochs(world):
@@ -99,7 +99,7 @@
 
     def test_three_cannot_bear_two(self):
         """The check above can fail: without growth the same two losses stop the core."""
-        with patch.object(Repair, "_may_add_voters", lambda self: False):
+        with patch.object(VoterRepair, "_may_add_voters", lambda self: False):
             world = CoreWorld(1, zones=GROWING_ZONES, members=3, rights=RIGHTS)
             world.add_caller("r0", list(world.names))
             world.run(seconds(4))
@@ -111,7 +111,7 @@
 
     def test_nothing_grows_unless_set(self):
         world = CoreWorld(
-            1, zones=GROWING_ZONES, members=3, rights=Rights(bootstrap_from_seeds=True)
+            1, zones=GROWING_ZONES, members=3, rights=VoterPolicy(bootstrap_from_seeds=True)
         )
         world.run(seconds(8))
         self.assertEqual(
@@ -141,7 +141,7 @@
     """
 
     def __init__(self, seed):
-        self.world = world = FleetWorld(seed, members=3, rights=Rights(bootstrap_from_seeds=True))
+        self.world = world = FleetWorld(seed, members=3, rights=VoterPolicy(bootstrap_from_seeds=True))
         world.open()
         world.checks.append(self.look)
         self.knows = None
--- a/tests/consensus/test_epoch_barrier.py
+++ b/tests/consensus/test_epoch_barrier.py
@@ -9,7 +9,7 @@
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.replica.voting import Voting
 from willowpost.registry.removal import safe_to_remove
-from willowpost.state.apply.core import (
+from willowpost.state.apply.voters import (
     add_voters,
     epoch_opened,
     replace_voter,
--- a/tests/consensus/test_replacement_faults.py
+++ b/tests/consensus/test_replacement_faults.py
@@ -5,7 +5,7 @@
 
 from willowpost.sim.replacement_faults import CYCLES, ReplacementFaultSchedule
 from willowpost.sim.rules import Broken
-from willowpost.store.repair import Repair
+from willowpost.store.voter_repair import VoterRepair
 
 
 class Replacements(unittest.TestCase):
@@ -26,7 +26,7 @@
 
     def test_without_replacements_the_next_loss_stops_the_core(self):
         with (
-            patch.object(Repair, "_lost", lambda self: None),
+            patch.object(VoterRepair, "_lost", lambda self: None),
             self.assertRaisesRegex(Broken, "never accepted"),
         ):
             ReplacementFaultSchedule(0).run()
--- a/tests/consensus/test_voter_replacement.py
+++ b/tests/consensus/test_voter_replacement.py
@@ -18,7 +18,7 @@
 from willowpost.consensus.replica.missed_change import MissedChange
 from willowpost.sim.scripted_core import ScriptedCore
 from willowpost.sim.world import seconds
-from willowpost.store.leaver import StoreLeaver
+from willowpost.store.graceful_shutdown import StoreShutdown
 
 
 def only_former(node_state):
@@ -96,7 +96,7 @@
 
     def test_a_store_that_just_stops_takes_the_second_copy_along(self):
         world = self.lagging(("a", "b", "c"))
-        with patch.object(StoreLeaver, "_settled", lambda self: True):
+        with patch.object(StoreShutdown, "_settled", lambda self: True):
             self.leave_then_lose(world)
         self.assertFalse(world.holds("s1", "z"))
 
--- a/tests/consensus/test_weakmvc.py
+++ b/tests/consensus/test_weakmvc.py
@@ -7,7 +7,7 @@
 import unittest
 from dataclasses import replace
 
-from willowpost.consensus.kinds import NEXT, BallotValue, stage_of
+from willowpost.consensus.stages import NEXT, BallotValue, stage_of
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.consensus.weakmvc import Verdict, WeakMvc, agreed_proposal
 from willowpost.wire.messages import BallotState
--- a/tests/drill/test_capacity.py
+++ b/tests/drill/test_capacity.py
@@ -12,7 +12,7 @@
 from willowpost.drill.capacity.report import Report, brought
 from willowpost.drill.capacity.size import Size
 from willowpost.drill.capacity.units import UnitCosts
-from willowpost.node.watch import WATCHERS
+from willowpost.node.failure_detector import WATCHERS
 from willowpost.state.tables import tables_from
 
 SMALL = Size(30, 10, 40, 10.0, 4)
--- a/tests/drill/test_soak.py
+++ b/tests/drill/test_soak.py
@@ -9,7 +9,7 @@
 from willowpost.common.clock import SECOND
 from willowpost.drill.rules import Findings
 from willowpost.drill.soak.callers import KEPT, ONCE, REPEATABLE, CallerTally, Sent
-from willowpost.drill.soak.judge import Leave, Record, SoakRules
+from willowpost.drill.soak.judge import ShutdownRequested, Record, SoakRules
 from willowpost.drill.soak.run import Soak
 from willowpost.drill.soak.schedule import Kind, Parts, drawn
 
@@ -95,7 +95,7 @@
         self.assertEqual([], self.broken(kept, arrivals=late))
 
     def test_sent_to_an_origin_that_left(self):
-        leaves = [Leave("o", SECOND, 9 * SECOND)]
+        leaves = [ShutdownRequested("o", SECOND, 9 * SECOND)]
         arrivals = {"s1": [["o", 4 * SECOND]]}
         rule = "nothing reaches an origin that left"
         self.assertEqual([rule], self.broken(arrivals=arrivals, leaves=leaves))
--- a/tests/node/test_follower.py
+++ b/tests/node/test_follower.py
@@ -3,13 +3,13 @@
 import unittest
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Changed, Received, Tick
+from willowpost.common.events import SettingsChanged, Received, Tick
 from willowpost.node.follower import WITHOUT_SOURCE_AFTER, Follower
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.state.tables import Tables
 from willowpost.wire.messages import Hello, Member, Poll, StateUpdate
 
-CARD = Card("r/registry", "registry", "core", "r", "a", "r:1", "r:2", 7)
+CARD = DaemonDescriptor("r/registry", "registry", "core", "r", "a", "r:1", "r:2", 7)
 
 
 def core(*names):
@@ -47,7 +47,7 @@
         self.assertEqual({"x:1"}, self.greeted(self.ticks(WITHOUT_SOURCE_AFTER + MILLI)))
 
     def test_what_the_new_seeds_name_is_polled_and_forgotten_once_there_are_state_update(self):
-        self.follower.step(Changed(("y:1",)), 0)
+        self.follower.step(SettingsChanged(("y:1",)), 0)
         self.assertEqual({"y:1"}, self.greeted(self.ticks(4 * SECOND)))
         self.follower.step(
             Received("y:1", Hello(answer=True, bootstrapped=True, known=known("C", "D", "E"))),
--- a/tests/node/test_graceful_shutdown.py
+++ b/tests/node/test_graceful_shutdown.py
@@ -5,11 +5,11 @@
 from willowpost.common.clock import MILLI
 from willowpost.common.events import Tick
 from willowpost.common.plan import Plan
-from willowpost.node.leaver import Leave, Leaver, Spans, Stage
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.graceful_shutdown import ShutdownRequested, GracefulShutdown, ShutdownTimeouts, Stage
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.state.tables import Tables
 
-CARD = Card("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
+CARD = DaemonDescriptor("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
 
 
 class Asker:
@@ -25,15 +25,15 @@
     def setUp(self):
         self.node_state = NodeState(CARD, Tables(daemons={CARD.id: {"incarnation": 7}}))
         self.command_client = Asker()
-        self.leaver = Leaver(
+        self.leaver = GracefulShutdown(
             self.node_state,
             self.command_client,
             type("Joins", (), {"leaving": False})(),
-            Spans(2500 * MILLI, 2000 * MILLI, 600 * MILLI),
+            ShutdownTimeouts(2500 * MILLI, 2000 * MILLI, 600 * MILLI),
         )
         self.in_flight = 0
         self.leaver.in_flight = lambda: self.in_flight
-        self.leaver.step(Leave(), 0)
+        self.leaver.step(ShutdownRequested(), 0)
 
     def until(self, stage):
         return next(
--- a/tests/node/test_request_number_reuse.py
+++ b/tests/node/test_request_number_reuse.py
@@ -5,12 +5,12 @@
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import Follower
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.node.quorum_read import QuorumRead
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import Poll, ReadAsk, ReadTell, StateUpdate
+from willowpost.wire.messages import Poll, QuorumReadRequest, QuorumReadResponse, StateUpdate
 
 CORE = tuple(
     {"identity": name, "name": name, "zone": "a", "address": f"{name}:1"} for name in "ABC"
@@ -18,7 +18,7 @@
 
 
 def follower_of(incarnation, age=None):
-    card = Card("r/registry", "registry", "core", "r", "a", "r:1", "r:2", incarnation)
+    card = DaemonDescriptor("r/registry", "registry", "core", "r", "a", "r:1", "r:2", incarnation)
     node_state = NodeState(card, Tables(slot=5, epoch=1, core=CORE), fresh_as_of=age)
     follower = Follower(node_state, [], tree=False)
     return node_state, [follower, QuorumRead(node_state, follower)]
@@ -43,14 +43,14 @@
         _, former = follower_of(1_000_000)
         messages = sent(former)
         polls = [message for message in messages if isinstance(message, Poll)]
-        reads = [message for message in messages if isinstance(message, ReadAsk)]
+        reads = [message for message in messages if isinstance(message, QuorumReadRequest)]
         node_state, controllers = follower_of(9_000_000)
         sent(controllers)
         for poll in polls:
             hear(controllers, StateUpdate(poll.nonce, 5, 0, True))
         for read in reads:
             for voter in "AB":
-                hear(controllers, ReadTell(read.nonce, voter, 5))
+                hear(controllers, QuorumReadResponse(read.nonce, voter, 5))
         self.assertTrue(polls and reads)
         self.assertIsNone(node_state.fresh_as_of)
 
@@ -63,7 +63,7 @@
             lambda _, seat, event, plan: asked.update(
                 message.nonce
                 for address, message in plan.sends
-                if seat.address == "s0" and isinstance(message, ReadAsk)
+                if seat.address == "s0" and isinstance(message, QuorumReadRequest)
             )
         )
         world.run(seconds(3))
@@ -76,7 +76,7 @@
             world.run(seconds(0.05))
             for nonce in former:
                 for member in node_state.tables.core:
-                    world.give("s0", Received("s1", ReadTell(nonce, member["identity"], 0)))
+                    world.give("s0", Received("s1", QuorumReadResponse(nonce, member["identity"], 0)))
         self.assertTrue(former)
         self.assertIsNone(node_state.fresh_as_of)
 
--- a/tests/node/test_stale_incarnation_answers.py
+++ b/tests/node/test_stale_incarnation_answers.py
@@ -4,13 +4,13 @@
 from itertools import pairwise
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Received, Tick
+from willowpost.common.events import SubmitOperations, Received, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.node.command_client import CommandClient
 from willowpost.node.follower import Follower
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.watch import Watch
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenTaker, AdmissionTokenWanted
 from willowpost.proxy.admission.quota_shares import QuotaShareTaker
 from willowpost.proxy.proxy_state import ProxyState
@@ -19,19 +19,19 @@
 from willowpost.store.node import StoreNode
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import (
-    Accepted,
-    AdmissionTokenAsk,
-    AdmissionTokenTell,
+    CommandAccepted,
+    AdmissionTokenRequest,
+    AdmissionTokenResponse,
     Member,
     Ping,
     Poll,
     Pong,
-    QuotaShareAsk,
-    QuotaShareTell,
-    ReadAsk,
-    ReadTell,
+    QuotaShareRequest,
+    QuotaShareResponse,
+    QuorumReadRequest,
+    QuorumReadResponse,
     StateUpdate,
-    Submit,
+    SubmitCommand,
 )
 
 VOTERS = tuple(Member(name, name, name, f"{name}:1") for name in ("A", "B", "C"))
@@ -44,7 +44,7 @@
 
 
 def card(incarnation):
-    return Card("p/proxy", "proxy", "edge", "p", "a", "p:1", "p:2", incarnation)
+    return DaemonDescriptor("p/proxy", "proxy", "edge", "p", "a", "p:1", "p:2", incarnation)
 
 
 def proxy_state(incarnation, service=None):
@@ -75,8 +75,8 @@
         """The first question, and the moment it was asked."""
         for now in range(0, SECOND, 20 * MILLI):
             sends = store.step(Tick(), now).sends
-            if any(isinstance(message, ReadAsk) for _, message in sends):
-                return asked(sends, ReadAsk), now
+            if any(isinstance(message, QuorumReadRequest) for _, message in sends):
+                return asked(sends, QuorumReadRequest), now
         raise AssertionError("no quorum read was begun")
 
     def test_an_answer_to_the_incarnation_before_counts_for_nothing(self):
@@ -84,13 +84,13 @@
         store = self.store(SECOND_INCARNATION)
         _, now = self.read(store)
         # B said so before it accepted another order with C
-        store.step(Received("B:1", ReadTell(old.nonce, "B", 0)), now + MILLI)
+        store.step(Received("B:1", QuorumReadResponse(old.nonce, "B", 0)), now + MILLI)
         self.assertIsNone(store.node_state.fresh_as_of)
 
     def test_an_answer_to_its_own_question_counts(self):
         store = self.store(SECOND_INCARNATION)
         question, now = self.read(store)
-        store.step(Received("B:1", ReadTell(question.nonce, "B", 0)), now + MILLI)
+        store.step(Received("B:1", QuorumReadResponse(question.nonce, "B", 0)), now + MILLI)
         self.assertEqual(now, store.node_state.fresh_as_of)
 
 
@@ -109,16 +109,16 @@
     def read(self, incarnation):
         node_state = NodeState(card(incarnation), Tables(slot=5, epoch=1, core=CORE))
         reads = QuorumRead(node_state, Follower(node_state, ["x:1"], tree=False))
-        return reads, asked(reads.step(Tick(), SECOND).sends, ReadAsk)
+        return reads, asked(reads.step(Tick(), SECOND).sends, QuorumReadRequest)
 
     def test_voters_that_answered_the_incarnation_before_make_nothing_fresh(self):
         _, old = self.read(FIRST)
         reads, question = self.read(SECOND_INCARNATION)
         for name in "AB":
-            reads.step(Received(f"{name}:1", ReadTell(old.nonce, name, 5)), SECOND + MILLI)
+            reads.step(Received(f"{name}:1", QuorumReadResponse(old.nonce, name, 5)), SECOND + MILLI)
         self.assertIsNone(reads.node_state.fresh_as_of)
         for name in "AB":
-            reads.step(Received(f"{name}:1", ReadTell(question.nonce, name, 5)), SECOND + MILLI)
+            reads.step(Received(f"{name}:1", QuorumReadResponse(question.nonce, name, 5)), SECOND + MILLI)
         self.assertEqual(SECOND, reads.node_state.fresh_as_of)
 
 
@@ -126,29 +126,29 @@
     def share(self, incarnation):
         service = ServiceCard(1000, 10, ("p/proxy",), {"p/proxy": 1.0}, ())
         taker = QuotaShareTaker(proxy_state(incarnation, service))
-        return taker, asked(taker.step(Tick(), SECOND).sends, QuotaShareAsk)
+        return taker, asked(taker.step(Tick(), SECOND).sends, QuotaShareRequest)
 
     def test_a_grant_to_the_incarnation_before_is_not_prolonged(self):
         _, old = self.share(FIRST)
         taker, question = self.share(SECOND_INCARNATION)
-        taker.step(Received("o:1", QuotaShareTell(old.nonce, "g", 1, 9000)), SECOND + MILLI)
+        taker.step(Received("o:1", QuotaShareResponse(old.nonce, "g", 1, 9000)), SECOND + MILLI)
         self.assertEqual({}, taker.node_state.grants)
         # nor one for another service than the question was about
-        taker.step(Received("o:1", QuotaShareTell(question.nonce, "h", 1, 9000)), SECOND + MILLI)
+        taker.step(Received("o:1", QuotaShareResponse(question.nonce, "h", 1, 9000)), SECOND + MILLI)
         self.assertEqual({}, taker.node_state.grants)
 
     def wanted(self, incarnation):
         taker = AdmissionTokenTaker(proxy_state(incarnation))
         return taker, asked(
-            taker.step(AdmissionTokenWanted("ticket", "g"), SECOND).sends, AdmissionTokenAsk
+            taker.step(AdmissionTokenWanted("ticket", "g"), SECOND).sends, AdmissionTokenRequest
         )
 
     def test_a_token_given_to_the_incarnation_before_lets_nothing_in(self):
         _, old = self.wanted(FIRST)
         taker, question = self.wanted(SECOND_INCARNATION)
-        given = AdmissionTokenTell(old.nonce, True)
+        given = AdmissionTokenResponse(old.nonce, True)
         self.assertEqual([], taker.step(Received("o:1", given), SECOND).replies)
-        given = AdmissionTokenTell(question.nonce, True)
+        given = AdmissionTokenResponse(question.nonce, True)
         self.assertEqual([("ticket", True)], taker.step(Received("o:1", given), SECOND).replies)
 
 
@@ -163,7 +163,7 @@
                     for name in ("p/proxy", "o")
                 },
             )
-            watch = Watch(card(incarnation), lambda: tables, None)
+            watch = FailureDetector(card(incarnation), lambda: tables, None)
             return watch, asked(watch.step(Tick(), SECOND).sends, Ping)
 
         _, old = pinged(FIRST)
@@ -177,17 +177,17 @@
 class Commands(unittest.TestCase):
     def submitted(self, incarnation):
         client = CommandClient("p/proxy", incarnation, lambda: ["A:1"], lambda: incarnation)
-        plan = client.step(Asked("token", ({"op": "x"},)), 0)
+        plan = client.step(SubmitOperations("token", ({"op": "x"},)), 0)
         plan.join(client.step(Tick(), SECOND))
-        return client, asked(plan.sends, Submit).command
+        return client, asked(plan.sends, SubmitCommand).command
 
     def test_the_acceptance_of_a_former_incarnations_command_settles_nothing(self):
         _, old = self.submitted(FIRST)
         client, command = self.submitted(SECOND_INCARNATION)
         self.assertEqual(old.counter, command.counter)
-        accepted = Accepted(old.key, 5, '[{"ok": true}]')
+        accepted = CommandAccepted(old.key, 5, '[{"ok": true}]')
         self.assertEqual([], client.step(Received("A:1", accepted), SECOND).replies)
-        accepted = Accepted(command.key, 6, '[{"ok": true}]')
+        accepted = CommandAccepted(command.key, 6, '[{"ok": true}]')
         self.assertEqual(1, len(client.step(Received("A:1", accepted), SECOND).replies))
 
 
@@ -205,7 +205,7 @@
         self.assertGreater(apart, 1_000_000)
 
     def test_the_greatest_of_them_goes_over_the_wire(self):
-        held = ReadAsk(2**56 + 2**40)
+        held = QuorumReadRequest(2**56 + 2**40)
         self.assertEqual(("a:1", held), Codec().decode(Codec().encode("a:1", held)))
 
 
--- a/tests/platform_adapter/test_configuration_translation.py
+++ b/tests/platform_adapter/test_configuration_translation.py
@@ -23,7 +23,7 @@
 from willowpost.configuration.routes import routes_of
 from willowpost.registry.calls.configurations import NumberedCall
 from willowpost.shell.web import Answer, Call
-from willowpost.state.configuration_changes import VERSION_MOST
+from willowpost.state.configuration_changes import MAX_VERSION
 
 SETTINGS = """
 node_name: "edge-north-1"
@@ -330,7 +330,7 @@
             found = translated(value)
             self.assertTrue(found.is_err(), place)
             self.assertEqual(place, found.unwrap_err()[0]["place"])
-        for version in (None, "7", 7.0, True, VERSION_MOST + 1):
+        for version in (None, "7", 7.0, True, MAX_VERSION + 1):
             found = translated({**configuration(), "version": version})
             self.assertEqual("version", found.unwrap_err()[0]["place"], version)
         for timeout in ("0s", 0, "0.0ms", "soon", "-5ms", [], True):
@@ -415,7 +415,7 @@
             {"limits": {"header_timeout": "0ms"}},
             {"version": 0},
             {"version": -4},
-            {"version": VERSION_MOST},
+            {"version": MAX_VERSION},
             {"extra": []},
         ):
             self.configuration({**configuration(), **more})
--- a/tests/platform_adapter/test_translation_boundary.py
+++ b/tests/platform_adapter/test_translation_boundary.py
@@ -91,9 +91,9 @@
 MAY_IMPORT = {
     "willowpost.shell.starting",
     "willowpost.shell.web",
-    "willowpost.shell.logs",
+    "willowpost.shell.structured_log",
     "willowpost.shell.fields",
-    "willowpost.shell.place",
+    "willowpost.shell.process_settings",
     "willowpost.shell.serving",
     "willowpost.common.events",
     "willowpost.common.digest",
--- a/tests/proxy/admission/test_owner_restart_fencing.py
+++ b/tests/proxy/admission/test_owner_restart_fencing.py
@@ -7,14 +7,14 @@
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import Follower
-from willowpost.node.node_state import LEASE, Card, NodeState
+from willowpost.node.node_state import LEASE, DaemonDescriptor, NodeState
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenOwner
 from willowpost.proxy.admission.quota_shares import FENCE_WAIT, QuotaShareOwner
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import ServiceCard
 from willowpost.state.apply.operators import own
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import AdmissionTokenAsk, AdmissionTokenTell, Poll, QuotaShareAsk
+from willowpost.wire.messages import AdmissionTokenRequest, AdmissionTokenResponse, Poll, QuotaShareRequest
 
 FENCE = 3
 CLIENT = SimpleNamespace()  # a command client that nobody may need here
@@ -22,7 +22,7 @@
 
 def owner(rate=1000.0):
     """A life that the log named owner of the service's quota before it was restarted."""
-    card = Card("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
+    card = DaemonDescriptor("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
     tables = Tables(
         slot=9,
         epoch=1,
@@ -37,7 +37,7 @@
 
 class QuotaShares(unittest.TestCase):
     def granted(self, held, now, fence=FENCE):
-        return held.step(Received("q:1", QuotaShareAsk(1, "g", fence, 9000)), now).sends
+        return held.step(Received("q:1", QuotaShareRequest(1, "g", fence, 9000)), now).sends
 
     def restarted(self):
         node_state, held = owner()
@@ -70,9 +70,9 @@
 
 class AdmissionTokens(unittest.TestCase):
     def given(self, tokens, now, fence=FENCE):
-        ask = AdmissionTokenAsk(1, "g", fence, "")
+        ask = AdmissionTokenRequest(1, "g", fence, "")
         ((_, answer),) = tokens.step(Received("q:1", ask), now).sends
-        self.assertIsInstance(answer, AdmissionTokenTell)
+        self.assertIsInstance(answer, AdmissionTokenResponse)
         return answer.given
 
     def test_tokens_come_under_the_same_guards(self):
@@ -91,7 +91,7 @@
 class OtherDuties(unittest.TestCase):
     def test_a_source_of_updates_is_not_fresh_before_a_read_of_its_own(self):
         """Restarted with old tables, it tells them, but lends nobody a lease."""
-        card = Card("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
+        card = DaemonDescriptor("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
         node_state = NodeState(card, Tables(slot=9, epoch=1))
         source = Follower(node_state, [])
         told = []
--- a/tests/proxy/routing/test_shields.py
+++ b/tests/proxy/routing/test_shields.py
@@ -8,7 +8,7 @@
 
 from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.configuration.checker import ConfigurationChecker
-from willowpost.node.node_state import Card
+from willowpost.node.node_state import DaemonDescriptor
 from willowpost.proxy.admission.buckets import Allowance
 from willowpost.proxy.admission.verdict import Let
 from willowpost.proxy.cache.store import CacheStore
@@ -109,7 +109,7 @@
         edges = []
         for number in range(3):
             state = ProxyState(
-                Card(f"e{number}", "proxy", "edge", f"e{number}", "abc"[number], "x", "x", 1)
+                DaemonDescriptor(f"e{number}", "proxy", "edge", f"e{number}", "abc"[number], "x", "x", 1)
             )
             state.tables = tables()
             keeper = SnapshotKeeper(state, CacheStore(), REGIONS)
--- a/tests/registry/test_configuration_order_histories.py
+++ b/tests/registry/test_configuration_order_histories.py
@@ -18,7 +18,7 @@
 from willowpost.registry.calls.configurations import ConfigurationCalls
 from willowpost.registry.calls.control_api import ControlApi, unknown
 from willowpost.shell.web import Call
-from willowpost.state.kinds import SUPERSEDED
+from willowpost.state.lifecycle import SUPERSEDED
 from willowpost.state.tables import tables_from
 
 REGISTRIES = st.integers(0, 2)
--- a/tests/registry/test_origin_lifecycle.py
+++ b/tests/registry/test_origin_lifecycle.py
@@ -13,11 +13,11 @@
 from willowpost.common.events import Received, Tick
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.node.command_client import CommandClient
-from willowpost.node.node_state import Card, NodeState
-from willowpost.registry.beats import Beats, Heard
+from willowpost.node.node_state import DaemonDescriptor, NodeState
+from willowpost.registry.origin_health import OriginHealthMonitor, HeartbeatReceived
 from willowpost.sim.world import seconds
-from willowpost.state.tables import BOUND_KEPT, ENDED_KEPT, Tables, tables_from
-from willowpost.wire.messages import Beat, Submit
+from willowpost.state.tables import MAX_ADDRESS_BINDINGS, MAX_ENDED_TOKENS, Tables, tables_from
+from willowpost.wire.messages import OriginHeartbeat, SubmitCommand
 
 SERVICES = {
     "plain": {},
@@ -100,13 +100,13 @@
         self.assertEqual((1, ()), (len(self.log.tables.origins), self.log.tables.ended))
 
     def test_the_last_ended_incarnations_are_remembered_also_by_whoever_reads_a_snapshot(self):
-        for number in range(ENDED_KEPT + 5):
+        for number in range(MAX_ENDED_TOKENS + 5):
             self.log.put(op="end", token=f"t{number}")
         self.log.tables = tables_from(self.log.tables.text())
-        self.assertEqual(ENDED_KEPT, len(self.log.tables.ended))
+        self.assertEqual(MAX_ENDED_TOKENS, len(self.log.tables.ended))
         self.assertEqual(
             [True, False, False],
-            [self.register(f"t{number}")["ok"] for number in (4, 5, ENDED_KEPT + 4)],
+            [self.register(f"t{number}")["ok"] for number in (4, 5, MAX_ENDED_TOKENS + 4)],
         )
 
     def test_it_enters_cold_or_warm_as_it_says(self):
@@ -200,19 +200,19 @@
     def test_the_oldest_bound_address_is_forgotten_first_also_after_a_snapshot(self):
         tables = Tables(
             epoch=1,
-            slot=BOUND_KEPT,
+            slot=MAX_ADDRESS_BINDINGS,
             bound={
-                f"z{number}": {"service": "plain", "slot": BOUND_KEPT - number}
-                for number in range(BOUND_KEPT)
+                f"z{number}": {"service": "plain", "slot": MAX_ADDRESS_BINDINGS - number}
+                for number in range(MAX_ADDRESS_BINDINGS)
             },
         )
         self.log.tables = tables_from(tables.text())
         self.register()
         self.assertEqual(
-            (BOUND_KEPT, False, True),
+            (MAX_ADDRESS_BINDINGS, False, True),
             (
                 len(self.log.tables.bound),
-                f"z{BOUND_KEPT - 1}" in self.log.tables.bound,
+                f"z{MAX_ADDRESS_BINDINGS - 1}" in self.log.tables.bound,
                 "z0" in self.log.tables.bound,
             ),
         )
@@ -251,7 +251,7 @@
             "told": True,
         }
         self.node_state = NodeState(
-            Card("r0/registry", "registry", "core", "r0", "a", "r0", "r0", 1),
+            DaemonDescriptor("r0/registry", "registry", "core", "r0", "a", "r0", "r0", 1),
             Tables(
                 slot=7,
                 epoch=1,
@@ -265,7 +265,7 @@
             ),
         )
         self.probed, self.now, self.in_touch = [], 100 * SECOND, True
-        self.beats = Beats(
+        self.beats = OriginHealthMonitor(
             self.node_state,
             CommandClient("r0/registry", 1, self.node_state.cores, lambda: 1),
             lambda *probe: self.probed.append((self.now, probe)),
@@ -289,12 +289,12 @@
         ops = [
             op
             for _, message in plan.sends
-            if isinstance(message, Submit)
+            if isinstance(message, SubmitCommand)
             for op in json.loads(message.command.body)
         ]
         self.beats.command_client.pending.clear()
         return [
-            (address, message) for address, message in plan.sends if not isinstance(message, Submit)
+            (address, message) for address, message in plan.sends if not isinstance(message, SubmitCommand)
         ], ops
 
     def pass_time(self, span, step=100 * MILLI):
@@ -320,63 +320,63 @@
         return name
 
     def test_a_beat_goes_to_every_other_registry_and_proxy_at_once_whole(self):
-        beat = Beat("o", 4, 1500, 32, 6)
-        sent, ops = self.step(Heard(beat))
+        beat = OriginHeartbeat("o", 4, 1500, 32, 6)
+        sent, ops = self.step(HeartbeatReceived(beat))
         self.assertEqual(([("r1", beat), ("p0", beat)], []), (sent, ops))
 
     def test_a_late_beat_changes_nothing_whoever_heard_the_later_one(self):
-        for later in (Heard(Beat("o", number=6), True), Received("r1", Beat("o", number=6))):
+        for later in (HeartbeatReceived(OriginHeartbeat("o", number=6), True), Received("r1", OriginHeartbeat("o", number=6))):
             self.setUp()
             self.step(later)
             for number in (6, 5, 0):
                 self.assertEqual(
-                    ([], []), self.step(Heard(Beat("o", 1, 1500, number=number), True), SECOND)
+                    ([], []), self.step(HeartbeatReceived(OriginHeartbeat("o", 1, 1500, number=number), True), SECOND)
                 )
-                self.assertEqual(([], []), self.step(Received("r1", Beat("o", number=number))))
+                self.assertEqual(([], []), self.step(Received("r1", OriginHeartbeat("o", number=number))))
             self.assertEqual(100 * SECOND, self.beats.heard["o"])
-            self.assertEqual(2, len(self.step(Heard(Beat("o", number=7)))[0]))
+            self.assertEqual(2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", number=7)))[0]))
 
     def test_beats_without_numbers_all_count(self):
         for _ in range(3):
-            self.assertEqual(2, len(self.step(Heard(Beat("o")), SECOND)[0]))
+            self.assertEqual(2, len(self.step(HeartbeatReceived(OriginHeartbeat("o")), SECOND)[0]))
             self.assertEqual(2, len(self.step(("beat", "o", 3), SECOND)[0]))
         self.assertEqual(self.now, self.beats.heard["o"])
 
     def test_who_takes_a_beat_proposes_at_once_what_it_says_of_being_cold(self):
         self.assertEqual(
             [{"op": "turn", "origin": "o", "state": "cold", "told": True, "number": 6}],
-            self.step(Heard(Beat("o", 0, 1500, number=6), True))[1],
+            self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=6), True))[1],
         )
-        self.card(state="cold")
+        self.descriptor(state="cold")
         self.assertEqual(
             [{"op": "turn", "origin": "o", "state": "warm", "told": True, "number": 7, "as_of": 7}],
-            self.step(Heard(Beat("o", number=7), True), 10 * MILLI)[1],
+            self.step(HeartbeatReceived(OriginHeartbeat("o", number=7), True), 10 * MILLI)[1],
         )
-        self.assertEqual([], self.step(Heard(Beat("o", 0, 1500, number=8), True))[1])
-        self.assertEqual([], self.step(Heard(Beat("o", number=9)))[1])
-        self.assertEqual([], self.step(Received("r1", Beat("o", number=10)))[1])
+        self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=8), True))[1])
+        self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", number=9)))[1])
+        self.assertEqual([], self.step(Received("r1", OriginHeartbeat("o", number=10)))[1])
         for state in ("waiting", "draining"):
-            self.card(state=state)
-            self.assertEqual([], self.step(Heard(Beat("o", number=99 + len(state)), True))[1])
+            self.descriptor(state=state)
+            self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", number=99 + len(state)), True))[1])
 
     def test_a_ramp_is_guessed_only_for_those_who_do_not_say(self):
         name = self.owned()
         for told, states in ((True, []), (None, [("warm", 7)])):
             self.beats.seen.clear()
             self.node_state.tables.origins[name].update(state="cold", told=told)
-            self.step(Heard(Beat(name)))
+            self.step(HeartbeatReceived(OriginHeartbeat(name)))
             self.assertEqual(
                 states,
                 [(op["state"], op.get("as_of")) for op in self.pass_time(int(2.5 * SECOND))][:1],
             )
-            self.step(Heard(Beat(name)))
+            self.step(HeartbeatReceived(OriginHeartbeat(name)))
 
     def test_a_silent_one_is_probed_once_a_second_by_whose_duty_it_is_then_gone(self):
         self.owned(own=False)
         self.assertEqual(([], []), (self.pass_time(9 * SECOND), self.probed))
         self.setUp()
         name = self.owned()
-        self.step(Heard(Beat(name)))
+        self.step(HeartbeatReceived(OriginHeartbeat(name)))
         ops = self.pass_time(int(4.5 * SECOND))
         gone = {"op": "turn", "origin": name, "state": "gone", "silent": True, "by": "r0/registry"}
         self.assertEqual([gone], ops[:1])
--- a/tests/shell/test_disk.py
+++ b/tests/shell/test_disk.py
@@ -9,12 +9,12 @@
 
 import gevent
 
-from willowpost.common.formats import UnknownFormat
+from willowpost.common.formats import UnknownFormatError
 from willowpost.common.plan import Plan
 from willowpost.shell.disk import Disk
-from willowpost.shell.patient_disk import PatientDisk
+from willowpost.shell.retrying_disk import RetryingDisk
 from willowpost.shell.runner import Runner
-from willowpost.shell.segment_format import DiskDamaged, batch_of, parse
+from willowpost.shell.segment_format import DiskDamagedError, batch_of, parse
 
 
 class DiskTests(unittest.TestCase):
@@ -46,7 +46,7 @@
         data = bytearray(open(self._path(), "rb").read())
         data[len(data) // 2] ^= 1
         open(self._path(), "wb").write(data)
-        with self.assertRaises(DiskDamaged):
+        with self.assertRaises(DiskDamagedError):
             Disk(self.folder.name).load()
 
     def test_a_segment_without_its_header_is_refused_at_every_cut(self):
@@ -54,7 +54,7 @@
         for cut in range(whole.index(b"\n") + 1):
             with open(self._path(), "wb") as file:
                 file.write(whole[:cut])
-            with self.assertRaises(DiskDamaged):
+            with self.assertRaises(DiskDamagedError):
                 Disk(self.folder.name).load()
 
     def test_a_torn_batch_is_cut_whatever_part_of_it_came_to_the_disk(self):
@@ -74,7 +74,7 @@
             line = b"%08x %s\n" % (zlib.crc32(body), body)
             with open(self._path(), "wb") as file:
                 file.write(line)
-            with self.assertRaisesRegex(UnknownFormat, "this build reads 2"):
+            with self.assertRaisesRegex(UnknownFormatError, "this build reads 2"):
                 Disk(self.folder.name).load()
             self.assertEqual(line, open(self._path(), "rb").read())
 
@@ -156,8 +156,8 @@
 
     def test_the_patient_wait_for_room_and_say_so_but_raise_what_will_not_pass(self):
         said, waited = [], []
-        logs = type("Logs", (), {"say": lambda self, *words, **more: said.append(words)})()
-        patient = PatientDisk(self.disk, logs, waited.append)
+        logger = type("Logs", (), {"say": lambda self, *words, **more: said.append(words)})()
+        patient = RetryingDisk(self.disk, logger, waited.append)
         with self.failing("write", errno.ENOSPC, times=50):
             patient.append([{"k": "decision", "slot": 1}])
         self.assertEqual((50, 2, [None, 0, 1]), (len(waited), len(said), self.held()))
@@ -188,8 +188,8 @@
             def append(self, records):
                 raise OSError(28, "No space left on device")
 
-        logs = type("Logs", (), {"say": lambda self, *words, **more: said.append((words, more))})()
-        runner = Runner("127.0.0.1:0", logs, Full(), died.append)
+        logger = type("Logs", (), {"say": lambda self, *words, **more: said.append((words, more))})()
+        runner = Runner("127.0.0.1:0", logger, Full(), died.append)
         runner.mesh.send = lambda *args: sent.append(args)
         runner.start(Node())
         gevent.wait([runner.task], timeout=5)
--- a/tests/shell/test_process_termination.py
+++ b/tests/shell/test_process_termination.py
@@ -14,8 +14,8 @@
 
 ENTRY = """
 import sys
-from willowpost.shell.logs import Logs
-from willowpost.shell.place import Place
+from willowpost.shell.structured_log import Logs
+from willowpost.shell.process_settings import Place
 from willowpost.shell.serving import serve
 from willowpost.{kind}.daemon import {name}
 place = Place("m", "a", "127.0.0.1:{inner}", ("127.0.0.1:{seed}",), http="127.0.0.1:{http}", role="edge", data=sys.argv[1], voters=3,
--- a/tests/shell/test_settings_reload.py
+++ b/tests/shell/test_settings_reload.py
@@ -12,10 +12,10 @@
 import yaml
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Changed
-from willowpost.node.node_state import LEASE, Card, NodeState
-from willowpost.node.watch import watchers_of
-from willowpost.shell.logs import Logs
+from willowpost.common.events import SettingsChanged
+from willowpost.node.node_state import LEASE, DaemonDescriptor, NodeState
+from willowpost.node.failure_detector import watchers_of
+from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.reload import SettingsReload
 from willowpost.shell.settings import DaemonSettings, SettingsReader
 from willowpost.sim.fleet.world import FleetWorld
@@ -40,7 +40,7 @@
             {},
             ("http",),
             DaemonSettings(**HELD),
-            Logs("wpproxy", "edge-1", stream=self.said),
+            StructuredLogger("wpproxy", "edge-1", stream=self.said),
         )
 
     def read(self, **changes):
@@ -139,7 +139,7 @@
 
 class ServingOn(unittest.TestCase):
     def test_a_long_serve_on_lengthens_no_duty(self):
-        card = Card("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
+        card = DaemonDescriptor("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
         node_state = NodeState(card, fresh_as_of=0)
         self.assertEqual((True, True), (node_state.leased(LEASE), node_state.ruling(LEASE)))
         self.assertEqual(
@@ -174,7 +174,7 @@
         world.cuts -= {("e1", helper), (helper, "e1")}
         world.run(seconds(1))
         self.assertEqual((0, ()), (node_state.tables.epoch, node_state.seed_cores))
-        world.give("e1", Changed((helper,)))
+        world.give("e1", SettingsChanged((helper,)))
         world.run(seconds(1))
         self.assertEqual(5, len(node_state.seed_cores))
         world.heal()
@@ -189,7 +189,7 @@
         for names in (["e0", "r4", "h2"], ["s3", "s4", "e2"], ["r1", "r2", "r3"]):
             world.seed_names = names
             for name in [*world.names, *world.registries, *world.edges, *world.shields]:
-                world.give(name, Changed(tuple(seed for seed in names if seed != name)))
+                world.give(name, SettingsChanged(tuple(seed for seed in names if seed != name)))
             for name in (*world.names, "r0", "e1", "h3"):
                 world.crash(name, lose_disk=name == "s2")
                 world.run(seconds(0.2))
--- a/tests/state/test_duplicate_commands.py
+++ b/tests/state/test_duplicate_commands.py
@@ -3,18 +3,18 @@
 import json
 import unittest
 
-from willowpost.common.events import Asked, Received, Tick
+from willowpost.common.events import SubmitOperations, Received, Tick
 from willowpost.node.command_client import CommandClient
-from willowpost.state.apply import Apply, answer_of, decided
-from willowpost.state.apply.duplicates import ABSENT_KEPT
+from willowpost.state.apply import StateMachine, answer_of, decided
+from willowpost.state.apply.command_history import MAX_ABSENT_DAEMONS
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import Accepted, Command, Decision
+from willowpost.wire.messages import CommandAccepted, Command, Decision
 
 BODY = json.dumps([{"op": "zone", "zone": "z", "empty": True}])
 
 
 def run(tables, command):
-    return Apply().step(tables, Decision(tables.slot, command.key, command))
+    return StateMachine().apply(tables, Decision(tables.slot, command.key, command))
 
 
 def after_daemons(count, tables=Tables(epoch=1)):
@@ -26,18 +26,18 @@
 
 class ForgottenCommands(unittest.TestCase):
     def test_daemons_that_are_gone_do_not_add_up(self):
-        few, many = after_daemons(ABSENT_KEPT), after_daemons(3 * ABSENT_KEPT)
-        self.assertEqual((ABSENT_KEPT, ABSENT_KEPT), (len(few.seen), len(many.seen)))
+        few, many = after_daemons(MAX_ABSENT_DAEMONS), after_daemons(3 * MAX_ABSENT_DAEMONS)
+        self.assertEqual((MAX_ABSENT_DAEMONS, MAX_ABSENT_DAEMONS), (len(few.seen), len(many.seen)))
         self.assertLess(len(many.text()), 1.1 * len(few.text()))
 
     def test_daemons_that_are_up_are_never_forgotten(self):
         daemons = {"d0": {"state": "up"}, "d1": {"state": "draining"}, "d2": {"state": "lost"}}
-        tables = after_daemons(3 * ABSENT_KEPT, Tables(epoch=1, daemons=daemons))
+        tables = after_daemons(3 * MAX_ABSENT_DAEMONS, Tables(epoch=1, daemons=daemons))
         self.assertEqual(["d0", "d1"], [name for name in daemons if name in tables.seen])
 
     def test_what_ran_or_was_barred_never_runs_again(self):
-        tables = after_daemons(3 * ABSENT_KEPT)
-        for number in range(3 * ABSENT_KEPT):
+        tables = after_daemons(3 * MAX_ABSENT_DAEMONS)
+        for number in range(3 * MAX_ABSENT_DAEMONS):
             ran = Command(f"d{number}", 1000 + number, 1, 1, BODY)
             self.assertTrue(decided(tables, ran))
             self.assertTrue(decided(tables, Command(f"d{number}", 999 + number, 7, 1, BODY)))
@@ -45,7 +45,7 @@
         self.assertEqual(tables.zones, before.zones)
 
     def test_a_newcomer_runs_and_one_whose_clock_is_behind_goes_above_the_floor(self):
-        tables = after_daemons(3 * ABSENT_KEPT)
+        tables = after_daemons(3 * MAX_ABSENT_DAEMONS)
         late = Command("new", tables.seen_floor, 1, 1, BODY)
         self.assertTrue(decided(tables, late))
         newcomer = Command("new", tables.seen_floor + 1, 1, 1, BODY)
@@ -54,11 +54,11 @@
 
     def test_a_forgotten_daemon_is_told_not_known_and_goes_on(self):
         client = CommandClient("d0", 1000, lambda: ["s:1"], lambda: 5)
-        client.step(Asked(1, ({"op": "zone"},)), 0)
+        client.step(SubmitOperations(1, ({"op": "zone"},)), 0)
         client.step(Tick(), 10_000)
         (key,) = client.pending
         plan = client.step(
-            Received("s:1", Accepted(key, 9, json.dumps({"forgotten": 5000}))), 20_000
+            Received("s:1", CommandAccepted(key, 9, json.dumps({"forgotten": 5000}))), 20_000
         )
         self.assertEqual([(1, {"slot": 9, "answers": None})], plan.replies)
         self.assertEqual(({}, 5001), (client.pending, client.incarnation))
--- a/tests/state/test_membership_operations.py
+++ b/tests/state/test_membership_operations.py
@@ -4,8 +4,8 @@
 import unittest
 from dataclasses import replace
 
-from willowpost.state.apply import Apply, answer_of
-from willowpost.state.apply.core import add_voters, replace_voter
+from willowpost.state.apply import StateMachine, answer_of
+from willowpost.state.apply.voters import add_voters, replace_voter
 from willowpost.state.tables import Tables
 from willowpost.wire.messages import Command, Decision
 
@@ -98,7 +98,7 @@
             {"op": "join", "daemon": 3},
         ):
             body = json.dumps([op, {"op": "zone", "zone": "z", "empty": True}])
-            tables = Apply().step(self.tables, Decision(9, "r/1/1", Command("r", 1, 1, 1, body)))
+            tables = StateMachine().apply(self.tables, Decision(9, "r/1/1", Command("r", 1, 1, 1, body)))
             self.assertEqual((10, True), (tables.slot, "z" in tables.zones))
             self.assertEqual(False, answer_of(tables, Command("r", 1, 1))[1][0]["ok"], op)
 
--- a/tests/state/test_repeated_orders.py
+++ b/tests/state/test_repeated_orders.py
@@ -9,8 +9,8 @@
 from tests.support.operation_log import Log
 from tests.support.registry_world import World
 from willowpost.sim.world import seconds
-from willowpost.state.configuration_changes import CHANGES_KEPT, VERSION_MOST
-from willowpost.state.kinds import SUPERSEDED
+from willowpost.state.configuration_changes import MAX_CHANGES, MAX_VERSION
+from willowpost.state.lifecycle import SUPERSEDED
 from willowpost.state.tables import Tables, tables_from
 
 PATH = "/v1/configuration"
@@ -47,9 +47,9 @@
 
     def test_the_last_accepted_changes_are_known_and_no_more(self):
         self.put(0)
-        for number in range(1, CHANGES_KEPT + 2):
+        for number in range(1, MAX_CHANGES + 2):
             self.put(number, if_match=number)
-        self.assertEqual(CHANGES_KEPT, len(self.log.tables.changes.changes))
+        self.assertEqual(MAX_CHANGES, len(self.log.tables.changes.changes))
         self.assertFalse(self.put(1, if_match=1)["ok"])
         self.assertTrue(self.put(2, if_match=2)["ok"])
 
@@ -70,10 +70,10 @@
         self.assertEqual(2, self.log.tables.configuration["version"])
 
     def test_the_highest_number_has_no_next_one(self):
-        self.put(1, version=VERSION_MOST)
+        self.put(1, version=MAX_VERSION)
         self.assertFalse(self.put(2)["ok"])
-        self.assertTrue(self.put(1, version=VERSION_MOST)["ok"])
-        self.assertEqual(VERSION_MOST, self.log.tables.configuration["version"])
+        self.assertTrue(self.put(1, version=MAX_VERSION)["ok"])
+        self.assertEqual(MAX_VERSION, self.log.tables.configuration["version"])
 
     def test_a_configuration_that_an_earlier_build_accepted_is_compared_by_its_content(self):
         self.put(1, version=5)
--- a/tests/support/operation_log.py
+++ b/tests/support/operation_log.py
@@ -2,7 +2,7 @@
 
 import json
 
-from willowpost.state.apply import Apply
+from willowpost.state.apply import StateMachine
 from willowpost.state.tables import Tables
 from willowpost.wire.messages import Command, Decision
 
@@ -15,5 +15,5 @@
 
     def put(self, **op):
         command = Command("d", 1, self.tables.slot + 1, 0, json.dumps([op]))
-        self.tables = Apply().step(self.tables, Decision(self.tables.slot, command.key, command))
+        self.tables = StateMachine().apply(self.tables, Decision(self.tables.slot, command.key, command))
         return self.tables.seen["d"]["answers"][str(command.counter)][1][0]
--- a/tests/support/registry_world.py
+++ b/tests/support/registry_world.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest.mock import patch
 
-from willowpost.common.events import Withdrawn
+from willowpost.common.events import WithdrawSubmission
 from willowpost.registry.front import Front
 from willowpost.shell.web import Call
 from willowpost.sim.fleet.world import FleetWorld
@@ -32,7 +32,7 @@
     def ask(self, *ops, timeout):
         token = self.world.ask(self.address, *ops)
         if not self.world.until(lambda: token in self.world.replies, seconds(timeout)):
-            self.put(Withdrawn(token))
+            self.put(WithdrawSubmission(token))
             return None
         return self.world.replies[token]
 
--- a/tests/support/served.py
+++ b/tests/support/served.py
@@ -12,7 +12,7 @@
 
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.configuration.routes import RouteTable, routes_of
-from willowpost.node.node_state import Card
+from willowpost.node.node_state import DaemonDescriptor
 from willowpost.proxy.admission.buckets import Allowance, Ramp
 from willowpost.proxy.admission.budget import RetryBudget
 from willowpost.proxy.cache.store import CacheStore
@@ -120,7 +120,7 @@
         assert ConfigurationChecker().check_value(configuration).is_ok()
         self.clock = HandClock()
         self.node_state = ProxyState(
-            Card("p", "proxy", role, "p", "a", "127.0.0.1:1", "127.0.0.1:1", 1),
+            DaemonDescriptor("p", "proxy", role, "p", "a", "127.0.0.1:1", "127.0.0.1:1", 1),
             Tables(slot=5, epoch=1),
         )
         self.node_state.fresh_as_of = self.clock.now()
@@ -145,17 +145,17 @@
             self.stats,
         )
         carrier = Carrier(self.node_state, self.cache, self.clock, tries, self.stats)
-        logs = type(
+        logger = type(
             "Quiet", (), {"say": lambda self, *a, **k: self.held.append((a, k)), "held": []}
         )()
-        self.logs = logs
+        self.logger = logger
         self.front = Front(
             self.node_state,
             self.clock,
             RequestPlanner(self.node_state, self.cache, self.clock),
             carrier,
             self.stats,
-            logs,
+            logger,
         )
         self.web = WebServer("127.0.0.1:0", self.front, ProxyHandler)
         self.web.start()
--- a/tests/system/test_configuration_read_back.py
+++ b/tests/system/test_configuration_read_back.py
@@ -10,7 +10,7 @@
 from tests.registry import test_registry
 from willowpost.configuration.checker import BYTES_MOST, ConfigurationChecker
 from willowpost.consensus.replica.catchup import Catchup
-from willowpost.consensus.replica.reads import Reads
+from willowpost.consensus.replica.quorum_reads import Reads
 from willowpost.node.follower import Follower
 from willowpost.registry.calls.configurations import ConfigurationCalls
 from willowpost.registry.calls.control_api import ControlApi
@@ -19,7 +19,7 @@
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import seconds
-from willowpost.store.repair import Repair
+from willowpost.store.voter_repair import VoterRepair
 
 
 def ALWAYS(*args):
@@ -157,7 +157,7 @@
         self.assertGreater(self.fade(5), 100)
 
     def test_without_the_replace_voter_the_next_loss_stops_the_fleet(self):
-        with patch.object(Repair, "_lost", lambda self: None):
+        with patch.object(VoterRepair, "_lost", lambda self: None):
             self.assertEqual(0, self.fade(5))
 
 
--- a/tests/system/test_exhaustive_faults.py
+++ b/tests/system/test_exhaustive_faults.py
@@ -4,16 +4,16 @@
 import unittest
 
 from willowpost.common.events import Received, Tick
-from willowpost.consensus.replica.replica_state import Pace, ReplicaState
+from willowpost.consensus.replica.replica_state import ReplicaTuning, ReplicaState
 from willowpost.consensus.replica.voting import Voting
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.fault_schedules import CoreFaultSchedule
 from willowpost.sim.fleet.fault_schedule import FleetFaultSchedule
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
-from willowpost.state.apply.core import replace_voter
+from willowpost.state.apply.voters import replace_voter
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import Ask, BallotState, Command, Member, ReadAsk, ReadTell
+from willowpost.wire.messages import CatchupRequest, BallotState, Command, Member, QuorumReadRequest, QuorumReadResponse
 
 TWO_REGIONS = {"a": "east", "b": "east", "c": "west", "d": "west"}
 
@@ -96,12 +96,12 @@
         for _ in range(30):
             now += 20_000
             plan = seat.node.step(Tick(), now)
-            asked += [message for _, message in plan.sends if isinstance(message, Ask)]
+            asked += [message for _, message in plan.sends if isinstance(message, CatchupRequest)]
             for nonce in {
-                message.nonce for _, message in plan.sends if isinstance(message, ReadAsk)
+                message.nonce for _, message in plan.sends if isinstance(message, QuorumReadRequest)
             }:
                 seat.node.step(
-                    Received("s1", ReadTell(nonce, other, seat.node.node_state.tables.slot + 9)),
+                    Received("s1", QuorumReadResponse(nonce, other, seat.node.node_state.tables.slot + 9)),
                     now,
                 )
         self.assertTrue(asked)
@@ -192,7 +192,7 @@
         snapshots = 0
         for seed in range(12):
             with self.subTest(seed=seed):
-                fault_schedule = CoreFaultSchedule(seed, pace=Pace(keep=4, rotate=8)).run()
+                fault_schedule = CoreFaultSchedule(seed, pace=ReplicaTuning(keep=4, rotate=8)).run()
                 self.assertEqual(
                     ([], 1), (fault_schedule.unanswered(), len(fault_schedule.digests()))
                 )
--- a/tests/system/test_partitioned_control_machine.py
+++ b/tests/system/test_partitioned_control_machine.py
@@ -7,21 +7,21 @@
 
 from tests.support.registry_world import World
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Received, Tick, Withdrawn
+from willowpost.common.events import SubmitOperations, Received, Tick, WithdrawSubmission
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.node.command_client import AVOID_FOR, RETRY_AFTER, CommandClient
-from willowpost.registry.beats import Beats
+from willowpost.registry.origin_health import OriginHealthMonitor
 from willowpost.shell.runner import Runner
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
-from willowpost.state.apply import OPS, Apply
+from willowpost.state.apply import OPS, StateMachine
 from willowpost.state.apply.configurations import configuration
-from willowpost.state.apply.membership import suspicion
+from willowpost.state.apply.daemons import suspicion
 from willowpost.state.apply.operators import zone
 from willowpost.state.apply.origins import register, turn
-from willowpost.state.kinds import SUPERSEDED
+from willowpost.state.lifecycle import SUPERSEDED
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import Accepted, Beat, Submit
+from willowpost.wire.messages import CommandAccepted, OriginHeartbeat, SubmitCommand
 
 CALLERS_SECOND = SECOND
 AT_ONCE = 100 * MILLI
@@ -384,7 +384,7 @@
         self.stays("is heard")
 
     def test_judging_while_out_of_touch_is_caught(self):
-        with patch.object(Beats, "_informed", lambda self, live, now: True):
+        with patch.object(OriginHealthMonitor, "_informed", lambda self, live, now: True):
             self.assertTrue(self.back_from_the_cut("silent")[1])
 
     def test_a_fleet_back_from_having_no_majority_throws_out_nobody_who_beats(self):
@@ -405,9 +405,9 @@
         for name in ("s1", "s2", "s3"):
             self.world.crash(name)
         self.world.run(2 * SECOND)
-        before = self.world.sent[Beat.__name__]
+        before = self.world.sent[OriginHeartbeat.__name__]
         self.assertEqual(503, self.told("POST", "/v1/origins/beat", self.origin).code)
-        self.assertGreater(self.world.sent[Beat.__name__], before)
+        self.assertGreater(self.world.sent[OriginHeartbeat.__name__], before)
 
     def test_silence_is_still_found_after_the_cut(self):
         self.owned_by_the_cut_one()
@@ -480,7 +480,7 @@
         return [
             (address, message)
             for address, message in self.client.step(event, self.now).sends
-            if isinstance(message, Submit)
+            if isinstance(message, SubmitCommand)
         ]
 
     def ticks(self, span):
@@ -491,51 +491,51 @@
         return sent
 
     def test_it_is_submitted_again_until_its_caller_gives_up(self):
-        self.step(Asked(1, ({"op": "x"},)))
+        self.step(SubmitOperations(1, ({"op": "x"},)))
         self.assertGreater(len(self.ticks(2 * SECOND)), 3)
-        self.step(Withdrawn(1))
+        self.step(WithdrawSubmission(1))
         self.assertEqual(([], {}), (self.ticks(5 * SECOND), self.client.pending))
 
     def test_the_shell_withdraws_what_was_not_answered_in_time(self):
         runner = Runner("127.0.0.1:1", None)
         self.assertIsNone(runner.ask({"op": "x"}, timeout=0.01))
         waiting = [runner.inbox.get_nowait() for _ in range(runner.inbox.qsize())]
-        self.assertEqual([Asked(1, ({"op": "x"},)), Withdrawn(1)], waiting)
+        self.assertEqual([SubmitOperations(1, ({"op": "x"},)), WithdrawSubmission(1)], waiting)
 
     def test_given_up_before_it_was_stamped_it_is_never_submitted(self):
-        self.step(Asked(1, ({"op": "x"},)))
-        self.step(Withdrawn(1))
+        self.step(SubmitOperations(1, ({"op": "x"},)))
+        self.step(WithdrawSubmission(1))
         self.assertEqual([], self.ticks(SECOND))
 
     def test_one_that_gives_up_takes_nothing_from_another(self):
         for token in (1, 2):
-            self.step(Asked(token, ({"op": str(token)},)))
+            self.step(SubmitOperations(token, ({"op": str(token)},)))
         ((_, submitted),) = self.ticks(40 * MILLI)
-        self.step(Withdrawn(1))
+        self.step(WithdrawSubmission(1))
         self.assertTrue(self.ticks(RETRY_AFTER + 20 * MILLI))
         answers = json.dumps([{"ok": 1}, {"ok": 2}])
-        plan = self.client.step(Received("a:1", Accepted(submitted.command.key, 7, answers)), 0)
+        plan = self.client.step(Received("a:1", CommandAccepted(submitted.command.key, 7, answers)), 0)
         self.assertEqual([(2, {"slot": 7, "answers": [{"ok": 2}]})], plan.replies)
 
     def test_what_nobody_waits_for_lasts_unless_it_expires_and_keeps_nothing_else_alive(self):
-        self.step(Asked(None, ({"op": "join"},)))
-        self.step(Asked(None, ({"op": "turn"},), SECOND))
-        self.step(Asked(1, ({"op": "zone"},)))
+        self.step(SubmitOperations(None, ({"op": "join"},)))
+        self.step(SubmitOperations(None, ({"op": "turn"},), SECOND))
+        self.step(SubmitOperations(1, ({"op": "zone"},)))
         self.ticks(500 * MILLI)
-        self.step(Withdrawn(1))
+        self.step(WithdrawSubmission(1))
         self.ticks(2 * SECOND)
         bodies = [entry.command.body for entry in self.client.pending.values()]
         self.assertEqual(['[{"op":"join"}]'], bodies)
 
     def test_a_store_that_does_not_answer_is_tried_last_for_a_while(self):
-        self.step(Asked(1, ({"op": "x"},)))
+        self.step(SubmitOperations(1, ({"op": "x"},)))
         self.assertEqual(
             ["a:1", "b:1", "c:1"],
             [address for address, _ in self.ticks(2 * RETRY_AFTER + SECOND)][:3],
         )
-        self.step(Withdrawn(1))
+        self.step(WithdrawSubmission(1))
         self.ticks(AVOID_FOR + SECOND)
-        self.step(Asked(2, ({"op": "x"},)))
+        self.step(SubmitOperations(2, ({"op": "x"},)))
         self.assertEqual(["a:1"], [address for address, _ in self.ticks(40 * MILLI)])
 
 
@@ -569,7 +569,7 @@
     def test_malformed_fences_change_nothing(self):
         for op in ({"op": "zone", "zone": "b", "empty": True, "as_of": "x"},):
             tables = Tables(slot=9, zones={"b": {"empty": False, "slot": 1, "what": "all"}})
-            changed, told = Apply()._change(tables, op, 0)
+            changed, told = StateMachine()._change(tables, op, 0)
             self.assertEqual((False, tables), (told["ok"], changed))
 
 
--- a/tests/system/test_planned_restarts.py
+++ b/tests/system/test_planned_restarts.py
@@ -53,9 +53,9 @@
 
     def test_without_the_drain_requests_in_flight_are_dropped(self):
         with (
-            patch("willowpost.node.leaver.DRAIN_SPAN", 0),
-            patch("willowpost.node.leaver.FINISH_SPAN", 0),
-            patch("willowpost.node.leaver.LEAVE_SPAN", 0),
+            patch("willowpost.node.graceful_shutdown.DRAIN_SPAN", 0),
+            patch("willowpost.node.graceful_shutdown.FINISH_SPAN", 0),
+            patch("willowpost.node.graceful_shutdown.LEAVE_SPAN", 0),
         ):
             world = rush()
             self.restart_all(world, ["e0", "e1", "e2"])
--- a/tests/system/test_single_fault_kinds.py
+++ b/tests/system/test_single_fault_kinds.py
@@ -159,7 +159,7 @@
         return plan
 
 
-class Heard:
+class HeartbeatReceived:
     def __init__(self):
         self.messages = 0
 
@@ -172,7 +172,7 @@
     def world(self):
         world = World(1)
         world.add("writer", lambda *state: Written())
-        world.add("other", lambda *state: Heard())
+        world.add("other", lambda *state: HeartbeatReceived())
         return world
 
     def test_nothing_is_said_while_a_write_waits(self):
--- a/tests/system/test_stale_tables.py
+++ b/tests/system/test_stale_tables.py
@@ -12,14 +12,14 @@
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import TOO_OLD, Follower
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.node.quorum_read import QuorumRead
 from willowpost.proxy.caller.pacing import LinkPacer
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import seconds
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import ReadAsk, ReadTell
+from willowpost.wire.messages import QuorumReadRequest, QuorumReadResponse
 
 SERVE_ON = 60 * SECOND
 MEGA = 1_000_000
@@ -108,12 +108,12 @@
         state, read = self._follower()
         for number in range(3):
             now = (number + 1) * 200 * MILLI + SECOND
-            asks = [sent for _, sent in read.step(Tick(), now).sends if isinstance(sent, ReadAsk)]
-            read.step(Received(f"v{number}:1", ReadTell(asks[0].nonce, f"v{number}", 5)), now)
+            asks = [sent for _, sent in read.step(Tick(), now).sends if isinstance(sent, QuorumReadRequest)]
+            read.step(Received(f"v{number}:1", QuorumReadResponse(asks[0].nonce, f"v{number}", 5)), now)
         self.assertIsNone(state.fresh_as_of)
 
     def _follower(self):
-        state = NodeState(Card("p", "proxy", "edge", "p", "a", "p:1", "p:2", 1))
+        state = NodeState(DaemonDescriptor("p", "proxy", "edge", "p", "a", "p:1", "p:2", 1))
         core = tuple(
             {"identity": f"v{number}", "name": f"v{number}", "zone": "a", "address": f"v{number}:1"}
             for number in range(3)
@@ -128,9 +128,9 @@
         for now in range(SECOND, 4 * SECOND, 10 * MILLI):
             while arrivals and arrivals[0][0] <= now:
                 _, address, nonce = heapq.heappop(arrivals)
-                read.step(Received(address, ReadTell(nonce, address[:2], 5)), now)
+                read.step(Received(address, QuorumReadResponse(nonce, address[:2], 5)), now)
             for address, sent in read.step(Tick(), now).sends:
-                if isinstance(sent, ReadAsk):
+                if isinstance(sent, QuorumReadRequest):
                     heapq.heappush(arrivals, (now + delay, address, sent.nonce))
         age = state.age(4 * SECOND)
         return 10 * SECOND if age is None else age
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -17,7 +17,7 @@
     Command,
     Decision,
     Member,
-    SnapshotPiece,
+    SnapshotChunk,
     SnapshotRequest,
 )
 
@@ -36,7 +36,7 @@
         return plain[field.type]()
     if field.name in ("states", "votes"):
         return tuple(chance.randrange(3) for _ in range(chance.randrange(4)))
-    nested = {"command": Command, "piece": SnapshotPiece, SnapshotRequest | None: SnapshotRequest}
+    nested = {"command": Command, "piece": SnapshotChunk, SnapshotRequest | None: SnapshotRequest}
     if field.name in nested or field.type in nested:
         return made(chance, nested.get(field.name) or nested[field.type])
     if field.name == "promise":
