--- a/src/willowpost/common/events.py
+++ b/src/willowpost/common/events.py
@@ -33,7 +33,7 @@
 
     Attributes:
         token: under which the caller waits for the outcome; None: nobody waits.
-        operations: as `state/operations.py` defines them, in the order in which they are to be applied.
+        operations: of `state/operations.py`, in the order in which they are to be applied.
         lifetime: µs after which they are not submitted again. None: they are submitted while the
             caller waits or, if nobody waits, until the log has answered.
     """
--- a/src/willowpost/consensus/replica/acceptance.py
+++ b/src/willowpost/consensus/replica/acceptance.py
@@ -8,7 +8,7 @@
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.state.apply import recorded_results
 from willowpost.state.codec import encode_results
-from willowpost.wire.messages import CommandAccepted, Command, SubmitCommand
+from willowpost.wire.messages import Command, CommandAccepted, SubmitCommand
 
 WAITING_MOST = 4096
 
@@ -64,7 +64,9 @@
             if outcome is None or outcome.slot >= safe:
                 continue
             del self.waiting[key]
-            plan.send(waiting.source, CommandAccepted(key, outcome.slot, json.dumps(outcome.answers)))
+            plan.send(
+                waiting.source, CommandAccepted(key, outcome.slot, json.dumps(outcome.answers))
+            )
 
     def _outcome(self, command) -> Outcome | None:
         """Return what the log says of the command; None while it is not decided."""
--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from willowpost.common.clock import SECOND
-from willowpost.common.events import SettingsChanged, Received, Tick
+from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.records import bootstrap_promise_record, founding_record
 from willowpost.consensus.replica.replica_state import ReplicaState
@@ -40,7 +40,11 @@
     """
 
     def __init__(
-        self, node_state: ReplicaState, seeds: tuple[str, ...], size: int, rights: VoterPolicy = VoterPolicy()
+        self,
+        node_state: ReplicaState,
+        seeds: tuple[str, ...],
+        size: int,
+        rights: VoterPolicy = VoterPolicy(),
     ):
         self.node_state = node_state
         self.rights = rights
@@ -133,9 +137,11 @@
         # each time another voter: the first may be the very one that was lost
         tellers = sorted(self.bootstrapped_addresses)
         self.round += 1
-        if tellers and not self.node_state.incoming_snapshot.progressing(now):
+        if tellers and not self.node_state.incoming_snapshot.is_progressing(now):
             request = self.node_state.incoming_snapshot.request()
-            plan.send(tellers[self.round % len(tellers)], CatchupRequest(0, blank=True, snapshot=request))
+            plan.send(
+                tellers[self.round % len(tellers)], CatchupRequest(0, blank=True, snapshot=request)
+            )
 
     def _hear(self, source, hello, plan):
         node_state = self.node_state
@@ -147,7 +153,9 @@
                 node_state.me.address,
                 *node_state.members.values(),
             }
-            plan.sends += [(address, CatchupRequest(node_state.tables.slot)) for address in sorted(strangers)]
+            plan.sends += [
+                (address, CatchupRequest(node_state.tables.slot)) for address in sorted(strangers)
+            ]
         elif hello.bootstrapped:
             self.bootstrapped_addresses = {member.address for member in hello.known} - {
                 node_state.me.address
@@ -186,9 +194,7 @@
         if members and all(promised):
             plan.records.append(founding_record(members))
             node_state.enter_first_epoch(members)
-            plan.log(
-                "bootstrap", "fleet bootstrapped", voters=[member.name for member in members]
-            )
+            plan.log("bootstrap", "fleet bootstrapped", voters=[member.name for member in members])
 
     def _may_promise(self) -> bool:
         """Whether this store may bootstrap, enough stores have claimed, and no fleet runs yet."""
--- a/src/willowpost/consensus/replica/catchup.py
+++ b/src/willowpost/consensus/replica/catchup.py
@@ -12,7 +12,7 @@
 from willowpost.consensus.log_size import leading
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.state.tables import tables_from
-from willowpost.wire.messages import CatchupRequest, BallotState, SyncedIndex, CatchupResponse
+from willowpost.wire.messages import BallotState, CatchupRequest, CatchupResponse, SyncedIndex
 
 DECISIONS_MOST = 64  # in one Tell
 DECISIONS_BYTES_MOST = 512 * 1024
@@ -35,9 +35,9 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event.
 
-        Answers an `CatchupRequest`, and a resent ballot state of a slot that is decided here; applies a
-        `CatchupResponse`; records a `SyncedIndex`. On a tick it reports the own synced index and asks for what
-        is missing.
+        Answers a `CatchupRequest`, and a resent ballot state of a slot that is decided here; applies
+        a `CatchupResponse`; records a `SyncedIndex`. On a tick it reports the own synced index and
+        asks for what is missing.
         """
         plan = Plan()
         match event:
@@ -74,7 +74,7 @@
     def _tell(self, source, ask, now, plan):
         node_state = self.node_state
         if ask.blank or ask.slot < node_state.log_floor:
-            piece = node_state.outgoing_snapshot.piece(
+            piece = node_state.outgoing_snapshot.chunk(
                 node_state.tables,
                 -1 if ask.blank else ask.slot,
                 node_state.log_floor,
@@ -104,7 +104,7 @@
         node_state, received = self.node_state, self.node_state.incoming_snapshot.received
         if not self._newer(piece.slot):
             return
-        text = node_state.incoming_snapshot.take(piece, now)
+        text = node_state.incoming_snapshot.add(piece, now)
         if text is not None:
             self._take_snapshot(text, plan)
         elif node_state.incoming_snapshot.received > received:
@@ -165,7 +165,7 @@
         waited = now - self.behind_since >= node_state.pace.ask // 2
         due = now - self.asked_at >= node_state.pace.ask
         sources = self._sources()
-        if waited and due and sources and not node_state.incoming_snapshot.progressing(now):
+        if waited and due and sources and not node_state.incoming_snapshot.is_progressing(now):
             self._ask(sources[(now // node_state.pace.ask) % len(sources)], now, plan)
 
     def _say_synced_index(self, now, plan):
--- a/src/willowpost/consensus/replica/missed_change.py
+++ b/src/willowpost/consensus/replica/missed_change.py
@@ -3,15 +3,15 @@
 from willowpost.common.events import Received
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.wire.messages import CatchupRequest, BallotState, SyncedIndex
+from willowpost.wire.messages import BallotState, CatchupRequest, SyncedIndex
 
 
 class MissedChange:
     """Asks an unknown voter that is ahead for the decisions in between, once per `pace.ask`.
 
     Without it, a voter whose former peers are all gone would never learn who votes now, although
-    the new voters keep sending it their synced index. What a `CatchupResponse` brings was decided, so it is
-    taken from any sender.
+    the new voters keep sending it their synced index. What a `CatchupResponse` brings was decided,
+    so it is taken from any sender.
     """
 
     def __init__(self, node_state: ReplicaState):
--- a/src/willowpost/consensus/replica/quorum_reads.py
+++ b/src/willowpost/consensus/replica/quorum_reads.py
@@ -29,15 +29,17 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event; a read that has its quorum advances `fresh_as_of`.
 
-        A voter answers `QuorumReadRequest`; a bootstrapped store answers `Poll`; a tick begins a read each
-        `pace.read`.
+        A voter answers `QuorumReadRequest`; a bootstrapped store answers `Poll`; a tick begins a
+        read each `pace.read`.
         """
         plan = Plan()
         match event:
             case Received(source, QuorumReadRequest(nonce)) if self.node_state.voter:
                 plan.send(
                     source,
-                    QuorumReadResponse(nonce, self.node_state.me.identity, self.node_state.tables.slot),
+                    QuorumReadResponse(
+                        nonce, self.node_state.me.identity, self.node_state.tables.slot
+                    ),
                 )
             case Received(_, QuorumReadResponse(nonce, identity, slot)) if (
                 nonce in self.reads.open and identity in self.node_state.members
@@ -89,7 +91,7 @@
 
     def _send_piece(self, source, poll, age, fresh, now, plan):
         node_state = self.node_state
-        piece = node_state.outgoing_snapshot.piece(
+        piece = node_state.outgoing_snapshot.chunk(
             node_state.tables,
             -1 if poll.blank else poll.slot,
             node_state.log_floor,
--- a/src/willowpost/consensus/replica/replica_state.py
+++ b/src/willowpost/consensus/replica/replica_state.py
@@ -6,7 +6,7 @@
 from willowpost.common.plan import Plan
 from willowpost.consensus.log_size import size_of
 from willowpost.consensus.pending_queue import PendingQueue
-from willowpost.consensus.replica.barrier import previous_identities, is_passed, quorum_index
+from willowpost.consensus.replica.barrier import is_passed, previous_identities, quorum_index
 from willowpost.consensus.replica.records import (
     RecordKind,
     ballot_state_record,
--- a/src/willowpost/consensus/replica/voting.py
+++ b/src/willowpost/consensus/replica/voting.py
@@ -8,7 +8,15 @@
 from willowpost.consensus.replica.records import ballot_state_record, passed_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.weakmvc import Verdict, WeakMvc, agreed_proposal
-from willowpost.wire.messages import CatchupRequest, BallotState, Command, Decision, ForwardCommand, SubmitCommand, CatchupResponse
+from willowpost.wire.messages import (
+    BallotState,
+    CatchupRequest,
+    CatchupResponse,
+    Command,
+    Decision,
+    ForwardCommand,
+    SubmitCommand,
+)
 
 EARLY_MOST = 64
 
--- a/src/willowpost/drill/base.py
+++ b/src/willowpost/drill/base.py
@@ -70,36 +70,36 @@
 
     def in_force(self) -> bool:
         """Whether every proxy says that it has the last accepted configuration, or a later one."""
-        held = self.fleet.stats()
-        return len(held) == len(self.fleet.proxies()) and all(
-            each["version"] >= self.version for each in held.values()
+        stats = self.fleet.stats()
+        return len(stats) == len(self.fleet.proxies()) and all(
+            each["version"] >= self.version for each in stats.values()
         )
 
     def all_up(self) -> bool:
         """Whether the log counts as many daemons up as there are processes."""
         daemons = self.status()["daemons"].values()
-        return sum(card["state"] == "up" for card in daemons) >= len(self.fleet.processes)
+        return sum(daemon["state"] == "up" for daemon in daemons) >= len(self.fleet.processes)
 
     def all_warm(self) -> bool:
         """Whether every origin is warm."""
-        return all(card["state"] == "warm" for card in self.status()["origins"].values())
+        return all(origin["state"] == "warm" for origin in self.status()["origins"].values())
 
     def status(self) -> dict:
         """The status page of the first registry that answers."""
-        held = self.fleet.call("GET", "/v1/status")
-        return held[2] if held else NOBODY_ANSWERS
+        reply = self.fleet.call("GET", "/v1/status")
+        return reply[2] if reply else NOBODY_ANSWERS
 
     def statuses(self) -> list:
         """The answers of all registries that answer."""
         answers = [ask(address, "GET", "/v1/status") for address in self.fleet.registries()]
-        return [held for held in answers if held]
+        return [reply for reply in answers if reply]
 
     def summed_stats(self) -> dict[str, int]:
         """Counts of all proxies together."""
         total = {"hits": 0, "requests": 0, "extras": 0, "tries": 0}
-        for held in self.fleet.stats().values():
+        for page in self.fleet.stats().values():
             for name in total:
-                total[name] += held["stats"].get(name, 0)
+                total[name] += page["stats"].get(name, 0)
         return total
 
     def core_names(self) -> list[str]:
--- a/src/willowpost/drill/capacity/filled.py
+++ b/src/willowpost/drill/capacity/filled.py
@@ -5,9 +5,23 @@
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.drill.capacity.size import Size
-from willowpost.node.node_state import DaemonDescriptor
 from willowpost.node.failure_detector import watchers_of
-from willowpost.state.tables import MAX_RECORDED_RESULTS, MAX_PURGES, Tables
+from willowpost.state.entries import (
+    ActiveConfiguration,
+    AddressBinding,
+    CommandHistory,
+    DaemonDescriptor,
+    DaemonEntry,
+    OriginEntry,
+    Ownership,
+    Purge,
+    PurgeKind,
+    RecordedResults,
+)
+from willowpost.state.lifecycle import DaemonState, OriginState
+from willowpost.state.operations import PurgeCache
+from willowpost.state.results import Accepted, PurgeAccepted
+from willowpost.state.tables import MAX_PURGES, MAX_RECORDED_RESULTS, Tables
 from willowpost.wire.messages import OriginHeartbeat
 
 INCARNATION = 10**15
@@ -30,7 +44,7 @@
 def cards_of(size: Size) -> Cards:
     """Addresses are as long as real ones: what is counted are bytes."""
 
-    def card(kind, role, number, machine, port):
+    def descriptor(kind, role, number, machine, port):
         address = f"10.{number >> 8}.{number & 255}.7"
         name = f"{machine}{number}"
         return DaemonDescriptor(
@@ -45,9 +59,12 @@
         )
 
     return Cards(
-        tuple(card("store", "core", number, "core-", 7001) for number in range(size.voters)),
-        tuple(card("registry", "core", number, "core-", 7002) for number in range(size.registries)),
-        tuple(card("proxy", "edge", number, "edge-", 7003) for number in range(size.proxies)),
+        tuple(descriptor("store", "core", number, "core-", 7001) for number in range(size.voters)),
+        tuple(
+            descriptor("registry", "core", number, "core-", 7002)
+            for number in range(size.registries)
+        ),
+        tuple(descriptor("proxy", "edge", number, "edge-", 7003) for number in range(size.proxies)),
     )
 
 
@@ -80,14 +97,13 @@
     }
 
 
-def purge_of(number: int) -> dict:
+def purge_of(number: int) -> PurgeCache:
     """One purge operation of a single path, another one for each number."""
-    return {
-        "op": "purge",
-        "kind": "item",
-        "host": f"service-{number % 31}.example",
-        "path": f"/part-{number % 640}/things/{number:08d}",
-    }
+    return PurgeCache(
+        kind=PurgeKind.ITEM,
+        host=f"service-{number % 31}.example",
+        path=f"/part-{number % 640}/things/{number:08d}",
+    )
 
 
 def beat_of(origin: str, second: int) -> OriginHeartbeat:
@@ -104,73 +120,95 @@
     def make(self, size: Size, purges: int = MAX_PURGES) -> Tables:
         """Tables of a fleet of this size with so many purges kept."""
         cards, slot = cards_of(size), max(purges, MAX_PURGES) + 100
-        daemons = {card.id: {**asdict(card), "state": "up", "since": 1} for card in cards.all}
-        core = tuple(
-            {"identity": card.id, "name": card.name, "zone": card.zone, "address": card.address}
-            for card in cards.stores
-        )
-        places = [
-            f"10.200.{number >> 7}.{100 + number % 128}:9000" for number in range(size.origins)
-        ]
-        origins = {
-            f"{place}@{1000 + number}.0": {
-                "service": f"service-{number // size.per_service}",
-                "address": place,
-                "zone": f"zone-{number % size.zones}",
-                "rate": size.origin_rate,
-                "cold_rate": size.origin_rate / 10,
-                "slot": number,
-                "token": f"incarnation-{number:08d}",
-                "state": "warm",
-            }
-            for number, place in enumerate(places)
-        }
-        held = [
-            {
-                **{name: value for name, value in purge_of(number).items() if name != "op"},
-                "slot": slot - purges + number,
-            }
-            for number in range(purges)
-        ]
-        # what the log has of each daemon's former incarnation: under its own, commands counted so
-        # far would be barred
-        answers = {
-            str(number): [number, [{"ok": True, "slot": number}]]
-            for number in range(1, MAX_RECORDED_RESULTS + 1)
-        }
-        seen = {
-            card.id: {
-                "incarnation": INCARNATION - 1,
-                "floor": 0,
-                "answers": answers if card.kind == "registry" else {"1": [1, [{"ok": True}]]},
-            }
-            for card in cards.all
-        }
-        fences = {
-            f"quota_share/service-{number}": {
-                "owner": cards.proxies[number % len(cards.proxies)].id,
-                "fence": 1,
-            }
-            for number in range(size.services)
-        }
+        daemons = _daemons(cards)
+        origins = _origins(size)
         return Tables(
             slot=slot,
             epoch=1,
-            core=core,
+            voters=tuple(daemons[store.id].as_member() for store in cards.stores),
             daemons=daemons,
             origins=origins,
-            configuration={
-                "version": 7,
-                "tree": ConfigurationChecker().check_value(configuration_of(size)).unwrap(),
+            configuration=ActiveConfiguration(
+                version=7, tree=ConfigurationChecker().check_value(configuration_of(size)).unwrap()
+            ),
+            address_bindings={
+                origin.address: AddressBinding(origin.service) for origin in origins.values()
             },
-            bound={card["address"]: {"service": card["service"]} for card in origins.values()},
-            purges=tuple(held),
+            purges=_purges(purges, slot - purges),
             purge_floor=slot - purges,
-            fences=fences,
-            seen=seen,
+            ownerships=_ownerships(size, cards),
+            command_histories=_command_histories(cards),
         )
 
 
+def _daemons(cards: Cards) -> dict[str, DaemonEntry]:
+    return {
+        descriptor.id: DaemonEntry(**asdict(descriptor), state=DaemonState.UP, since_slot=1)
+        for descriptor in cards.all
+    }
+
+
+def _origins(size: Size) -> dict[str, OriginEntry]:
+    addresses = [
+        f"10.200.{number >> 7}.{100 + number % 128}:9000" for number in range(size.origins)
+    ]
+    return {
+        f"{address}@{1000 + number}.0": OriginEntry(
+            service=f"service-{number // size.per_service}",
+            address=address,
+            zone=f"zone-{number % size.zones}",
+            rate=size.origin_rate,
+            slow_start_rate=size.origin_rate / 10,
+            slot=number,
+            state=OriginState.WARM,
+            token=f"incarnation-{number:08d}",
+        )
+        for number, address in enumerate(addresses)
+    }
+
+
+def _purges(count: int, first_slot: int) -> tuple[Purge, ...]:
+    operations = [purge_of(number) for number in range(count)]
+    return tuple(
+        Purge(
+            slot=first_slot + number,
+            host=operation.host,
+            kind=operation.kind,
+            path=operation.path,
+        )
+        for number, operation in enumerate(operations)
+    )
+
+
+def _command_histories(cards: Cards) -> dict[str, CommandHistory]:
+    """What the log remembers of each daemon's previous incarnation.
+
+    Under the present one, commands counted so far would be barred.
+    """
+    registry_results = {
+        number: RecordedResults(number, (PurgeAccepted(number),))
+        for number in range(1, MAX_RECORDED_RESULTS + 1)
+    }
+    other_results = {1: RecordedResults(1, (Accepted(),))}
+    return {
+        descriptor.id: CommandHistory(
+            incarnation=INCARNATION - 1,
+            floor=0,
+            results=registry_results if descriptor.kind == "registry" else other_results,
+        )
+        for descriptor in cards.all
+    }
+
+
+def _ownerships(size: Size, cards: Cards) -> dict[str, Ownership]:
+    return {
+        f"quota_share/service-{number}": Ownership(
+            owner=cards.proxies[number % len(cards.proxies)].id, fencing_token=1
+        )
+        for number in range(size.services)
+    }
+
+
 class WatchSets:
     """Who watches whom, worked out once for all daemons of a process: each would find the same."""
 
@@ -185,5 +223,5 @@
 
 def homes_of(zone: str, cards: Cards) -> tuple[DaemonDescriptor, ...]:
     """The zone's proxies in the order in which they are asked for state updates."""
-    in_zone = {card.id: card for card in cards.proxies if card.zone == zone}
+    in_zone = {proxy.id: proxy for proxy in cards.proxies if proxy.zone == zone}
     return tuple(in_zone[name] for name in Rendezvous().rank(f"state_update/{zone}", in_zone))
--- a/src/willowpost/drill/capacity/lightweight.py
+++ b/src/willowpost/drill/capacity/lightweight.py
@@ -4,7 +4,7 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SubmitOperations, Received
+from willowpost.common.events import Received, SubmitOperations
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.drill.capacity.filled import (
     FilledTables,
@@ -19,8 +19,8 @@
 from willowpost.drill.capacity.size import Size
 from willowpost.node.failure_detector import FailureDetector
 from willowpost.proxy.node import ProxyNode
-from willowpost.registry.origin_health import HeartbeatReceived
 from willowpost.registry.node import RegistryNode
+from willowpost.registry.origin_health import HeartbeatReceived
 from willowpost.shell.mesh import HEAD
 from willowpost.sim.world import World, seconds
 from willowpost.store.node import StoreNode
@@ -49,15 +49,15 @@
         self.encoded = (None, b"")
         roles = self._roles(whole)
         self.meter = Meter(
-            {card.address: roles[card.id] for card in self.cards.all if card.id in roles}
+            {daemon.address: roles[daemon.id] for daemon in self.cards.all if daemon.id in roles}
         )
-        for card in self.cards.all:
-            if card.id in roles:
-                self.add(card.address, self._build(card))
+        for daemon in self.cards.all:
+            if daemon.id in roles:
+                self.add(daemon.address, self._build(daemon))
         self.simulated_peers = SimulatedPeers(
-            self, [card for card in self.cards.all if card.id not in roles]
+            self, [daemon for daemon in self.cards.all if daemon.id not in roles]
         )
-        self.stepped = [card for card in self.cards.registries if card.id in roles]
+        self.stepped = [registry for registry in self.cards.registries if registry.id in roles]
         for number, origin in enumerate(self.tables.origins):
             home = self.cards.registries[number % len(self.cards.registries)]
             if home.id in roles:
@@ -74,12 +74,15 @@
 
     def _roles(self, whole):
         homes = homes_of("zone-0", self.cards)
-        owners = {card["owner"] for card in self.tables.fences.values()}
-        picked = {card.id: "store" for card in self.cards.stores} | {
-            card.id: "registry" for card in self.cards.registries[: None if whole else REGISTRIES]
+        owners = {ownership.owner for ownership in self.tables.ownerships.values()}
+        picked = {store.id: "store" for store in self.cards.stores} | {
+            registry.id: "registry"
+            for registry in self.cards.registries[: None if whole else REGISTRIES]
+        }
+        sampled = [proxy for proxy in homes[1:] if proxy.id not in owners]
+        picked |= {
+            proxy.id: "proxy" for proxy in (self.cards.proxies if whole else sampled[:LEAVES])
         }
-        sampled = [card for card in homes[1:] if card.id not in owners]
-        picked |= {card.id: "proxy" for card in (self.cards.proxies if whole else sampled[:LEAVES])}
         picked |= {
             homes[0].id: "home",
             **{name: "owner" for name in (owners if whole else sorted(owners - {homes[0].id})[:1])},
@@ -91,29 +94,37 @@
             }
         return picked
 
-    def _build(self, card):
+    def _build(self, descriptor):
         seeds = [store.address for store in self.cards.stores[:3]]
 
         def build(records, now, wall, incarnation):
-            if card.kind == "store":
-                me = Member(card.id, card.name, card.zone, card.address)
+            if descriptor.kind == "store":
+                me = Member(descriptor.id, descriptor.name, descriptor.zone, descriptor.address)
                 node_state = ReplicaState(me)
                 node_state.take(self.tables)
                 node_state.log_floor = node_state.rotated_at = self.tables.slot
                 node_state.passed = self.tables.epoch
                 node = StoreNode(
-                    me, seeds, self.size.voters, node_state.segment(), now, wall, card.incarnation
+                    me,
+                    seeds,
+                    self.size.voters,
+                    node_state.segment(),
+                    now,
+                    wall,
+                    descriptor.incarnation,
                 )
             else:
                 node = (
-                    RegistryNode(card, seeds, wall, lambda *probe: None)
-                    if card.kind == "registry"
-                    else ProxyNode(card, seeds, wall)
+                    RegistryNode(descriptor, seeds, wall, lambda *probe: None)
+                    if descriptor.kind == "registry"
+                    else ProxyNode(descriptor, seeds, wall)
                 )
                 node.node_state.tables = self.tables
-            for watch in [held for held in node.controllers if isinstance(held, FailureDetector)]:
-                # a store has read its own copy of the tables
-                watch.seen_daemons, watch.watched = watch.tables().daemons, self.watched[card.id]
+            for controller in node.controllers:
+                if isinstance(controller, FailureDetector):
+                    # a store has read its own copy of the tables
+                    controller.seen_daemons = controller.tables().daemons
+                    controller.watched = self.watched[descriptor.id]
             return node
 
         return build
@@ -152,7 +163,7 @@
             frame = self.encoded[1]
             spent.told(type(message).__name__, len(frame) + HEAD.size)
             self.sent[type(message).__name__] += 1
-            if address in self.simulated_peers.cards:
+            if address in self.simulated_peers.descriptors:
                 if isinstance(message, ANSWERED):
                     self.at(MILLI, self.simulated_peers.hear, address, seat.address, message)
             else:
--- a/src/willowpost/drill/capacity/meter.py
+++ b/src/willowpost/drill/capacity/meter.py
@@ -13,7 +13,7 @@
 
     def __init__(self):
         self.took: list[int] = []
-        self.cards = {
+        self.entries = {
             f"daemon-{number}": {
                 "address": f"10.0.{number % 7}.{number}:7003",
                 "zone": f"zone-{number % 30}",
@@ -37,11 +37,11 @@
     def _once(self):
         """Does the work once, in more memory than the caches hold; returns its duration in ns."""
         begun = thread_time_ns()
-        cards = {
-            name: {**card, "since": number}
-            for number, (name, card) in enumerate(self.cards.items())
+        entries = {
+            name: {**entry, "since": number}
+            for number, (name, entry) in enumerate(self.entries.items())
         }
-        sorted((card["address"], name) for name, card in cards.items())
+        sorted((entry["address"], name) for name, entry in entries.items())
         return thread_time_ns() - begun
 
 
@@ -129,7 +129,12 @@
         """Spending by role, a second of the `span` seconds that were counted."""
         return {
             role: self._of(
-                [self.spent[address] for address, held in self.roles.items() if held == role], span
+                [
+                    self.spent[address]
+                    for address, daemon_role in self.roles.items()
+                    if daemon_role == role
+                ],
+                span,
             )
             for role in dict.fromkeys(self.roles.values())
         }
--- a/src/willowpost/drill/capacity/report.py
+++ b/src/willowpost/drill/capacity/report.py
@@ -111,14 +111,14 @@
         self.line("daemons | origins | purges/s | role | " + " | ".join(NAMES) + " | most bytes")
         figures = self._measured(DESIGN)
         self.line("\nrole | figure | measured | worked out from the ladder | budget")
-        for role, held in figures.items():
+        for role, role_figures in figures.items():
             for name, most in (
                 ("micros", self.budget.micros),
                 ("bytes_out", self.budget.bytes),
                 ("bytes_in", self.budget.bytes),
             ):
                 fit = self.fits.get((role, name))
-                value = brought(held, name, self.yard or held.yard)
+                value = brought(role_figures, name, self.yard or role_figures.yard)
                 foretold = shown(fit.at(DESIGN.daemons)) if fit else "not run"
                 self.line(
                     f"{role} | {name} | {shown(value)} | {foretold} | {shown(most)}: "
@@ -206,16 +206,20 @@
                 )
 
     def _least(self, found):
-        return min(held.yard for figures in found.values() for held in figures.values())
+        return min(
+            role_figures.yard for figures in found.values() for role_figures in figures.values()
+        )
 
     def _measured(self, size):
         fleet = LightweightFleet(size, self.seed)
         figures = fleet.measure(self.warm, self.span)
-        for role, held in figures.items():
-            most = ", ".join(f"{kind} {shown(rate)}" for kind, rate in list(held.kinds.items())[:3])
+        for role, role_figures in figures.items():
+            most = ", ".join(
+                f"{kind} {shown(rate)}" for kind, rate in list(role_figures.kinds.items())[:3]
+            )
             self.line(
                 f"{size.daemons} | {size.origins} | {size.purges:g} | {role} | "
-                + " | ".join(shown(getattr(held, name)) for name in NAMES)
+                + " | ".join(shown(getattr(role_figures, name)) for name in NAMES)
                 + f" | {most}"
             )
         self.line(
--- a/src/willowpost/drill/capacity/simulated_peers.py
+++ b/src/willowpost/drill/capacity/simulated_peers.py
@@ -2,26 +2,37 @@
 
 from willowpost.common.clock import SECOND
 from willowpost.drill.capacity.filled import beat_of, homes_of
+from willowpost.node.failure_detector import PING_EVERY
 from willowpost.node.follower import POLL_EVERY
 from willowpost.node.node_state import NodeState
-from willowpost.node.failure_detector import PING_EVERY
 from willowpost.proxy.admission.quota_shares import LOOK_EVERY
-from willowpost.wire.messages import Ping, Poll, Pong, QuotaShareRequest, QuotaShareResponse, StateUpdate
+from willowpost.wire.messages import (
+    Ping,
+    Poll,
+    Pong,
+    QuotaShareRequest,
+    QuotaShareResponse,
+    StateUpdate,
+)
 
-ANSWERED = (StateUpdate, Ping, QuotaShareRequest)  # what a simulated peer answers; all else it ignores
+ANSWERED = (
+    StateUpdate,
+    Ping,
+    QuotaShareRequest,
+)  # what a simulated peer answers; all else it ignores
 
 
 class SimulatedPeers:
     """Sends polls, pings, quota requests and heartbeats as often as the controllers do.
 
-    Each peer has its own phase. tests/drill/test_capacity.py compares them with a run of the same size in
-    which every daemon is stepped.
+    Each peer has its own phase. tests/drill/test_capacity.py compares them with a run of the
+    same size in which every daemon is stepped.
     """
 
-    def __init__(self, world, cards):
+    def __init__(self, world, descriptors):
         self.world = world
-        self.cards = {card.address: card for card in cards}
-        self.slots = {address: world.tables.slot for address in self.cards}
+        self.descriptors = {descriptor.address: descriptor for descriptor in descriptors}
+        self.slots = {address: world.tables.slot for address in self.descriptors}
         self.nonce = 0
         self._homes()
         self._begin()
@@ -32,60 +43,63 @@
             case StateUpdate(_, slot):
                 self.slots[address] = max(self.slots[address], slot)
             case Ping(nonce, _):
-                self._say(address, source, Pong(nonce, self.cards[address].incarnation_id))
-            case QuotaShareRequest(nonce, service, fence, _):
-                self._say(address, source, QuotaShareResponse(nonce, service, fence, 1000))
+                self._say(address, source, Pong(nonce, self.descriptors[address].incarnation_id))
+            case QuotaShareRequest(nonce, service, fencing_token, _):
+                self._say(address, source, QuotaShareResponse(nonce, service, fencing_token, 1000))
 
     def _homes(self):
         """Zone -> its first home, by the followers' own order."""
         world = self.world
         self.homes = {
             zone: homes_of(zone, world.cards)[0]
-            for zone in {card.zone for card in world.cards.proxies}
+            for zone in {proxy.zone for proxy in world.cards.proxies}
         }
 
     def _begin(self):
         world, seats = self.world, self.world.seats
-        stepped = [
-            world.tables.daemons[name]
-            for name in world.tables.daemons
-            if world.tables.daemons[name]["address"] in seats
+        stepped = [daemon for daemon in world.tables.daemons.values() if daemon.address in seats]
+        heartbeat_receivers = [
+            daemon.address for daemon in stepped if daemon.kind in ("registry", "proxy")
         ]
-        told = [card["address"] for card in stepped if card["kind"] in ("registry", "proxy")]
         owned = [
-            (service, card["fence"], address)
-            for service, card in world.tables.fences.items()
-            for address in [world.tables.daemons[card["owner"]]["address"]]
+            (key, ownership.fencing_token, address)
+            for key, ownership in world.tables.ownerships.items()
+            for address in [world.tables.daemons[ownership.owner].address]
             if address in seats
         ]
-        for card in self.cards.values():
-            if card.kind != "store" and (source := self._source(card)) in seats:
-                self._every(POLL_EVERY, lambda card=card, source=source: self._poll(card, source))
-            for target in world.watched[card.id]:
-                address = world.tables.daemons[target]["address"]
+        for peer in self.descriptors.values():
+            if peer.kind != "store" and (source := self._source(peer)) in seats:
+                self._every(POLL_EVERY, lambda peer=peer, source=source: self._poll(peer, source))
+            for target in world.watched[peer.id]:
+                address = world.tables.daemons[target].address
                 if address in seats:
                     self._every(
                         PING_EVERY,
-                        lambda card=card, address=address: self._say(
-                            card.address, address, Ping(self._next(), card.incarnation_id)
+                        lambda peer=peer, address=address: self._say(
+                            peer.address, address, Ping(self._next(), peer.incarnation_id)
                         ),
                     )
-            if card.kind == "proxy":
-                for key, fence, address in owned:
+            if peer.kind == "proxy":
+                for key, fencing_token, address in owned:
                     self._every(
                         LOOK_EVERY,
-                        lambda card=card, key=key, fence=fence, address=address: self._say(
-                            card.address,
-                            address,
-                            QuotaShareRequest(
-                                self._next(), key.removeprefix("quota_share/"), fence, 1000
-                            ),
+                        lambda peer=peer, key=key, fencing_token=fencing_token, address=address: (
+                            self._say(
+                                peer.address,
+                                address,
+                                QuotaShareRequest(
+                                    self._next(),
+                                    key.removeprefix("quota_share/"),
+                                    fencing_token,
+                                    1000,
+                                ),
+                            )
                         ),
                     )
         for number, origin in enumerate(world.tables.origins):
             registry = world.cards.registries[number % len(world.cards.registries)]
-            if registry.address in self.cards:
-                for address in told:
+            if registry.address in self.descriptors:
+                for address in heartbeat_receivers:
                     self._every(
                         int(world.size.beat_seconds * SECOND),
                         lambda origin=origin, registry=registry, address=address: self._say(
@@ -93,14 +107,14 @@
                         ),
                     )
 
-    def _source(self, card):
-        home = self.homes.get(card.zone)
-        if card.kind == "proxy" and home.id != card.id:
+    def _source(self, peer):
+        home = self.homes.get(peer.zone)
+        if peer.kind == "proxy" and home.id != peer.id:
             return home.address
-        return NodeState(card, self.world.tables).cores()[0]
+        return NodeState(peer, self.world.tables).cores()[0]
 
-    def _poll(self, card, source):
-        self._say(card.address, source, Poll(self._next(), self.slots[card.address]))
+    def _poll(self, peer, source):
+        self._say(peer.address, source, Poll(self._next(), self.slots[peer.address]))
 
     def _next(self):
         self.nonce += 1
--- a/src/willowpost/drill/capacity/steps.py
+++ b/src/willowpost/drill/capacity/steps.py
@@ -25,7 +25,9 @@
         rows = []
         for role in dict.fromkeys(fleet.meter.roles.values()):
             seat = next(
-                fleet.seats[address] for address, held in fleet.meter.roles.items() if held == role
+                fleet.seats[address]
+                for address, daemon_role in fleet.meter.roles.items()
+                if daemon_role == role
             )
             now, ping = fleet.now(seat), Received("10.0.9.9:7003", Ping(1, "edge-9/proxy@1"))
             rows.append(
--- a/src/willowpost/drill/capacity/units.py
+++ b/src/willowpost/drill/capacity/units.py
@@ -15,7 +15,11 @@
 from willowpost.proxy.cache.store import CacheStore, Entry
 from willowpost.proxy.routing.snapshot import SnapshotMaker
 from willowpost.state.apply import StateMachine
-from willowpost.state.tables import tables_from
+from willowpost.state.codec import encode_operation
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.entries import ActiveConfiguration
+from willowpost.state.operations import Operation
+from willowpost.state.tables import Tables, tables_from
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import Command, Decision, StateUpdate
 
@@ -48,7 +52,7 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def held_by(make) -> int:
+def memory_of(make) -> int:
     """Bytes of what make() gives.
 
     Counted by the interpreter: what the process holds resident hides small things in freed room.
@@ -71,9 +75,10 @@
     return max(0, resident() - before) / len(kept)
 
 
-def slot_of(tables, *ops) -> Decision:
+def slot_of(tables: Tables, *operations: Operation) -> Decision:
     """A decision that carries these operations in the next slot of the tables."""
-    command = Command("core-0/registry", 10**15 + 1, 1, 1, json.dumps(ops))
+    body = json.dumps([encode_operation(operation) for operation in operations])
+    command = Command("core-0/registry", 10**15 + 1, 1, 1, body)
     return Decision(tables.slot, command.key, command)
 
 
@@ -97,15 +102,15 @@
         rows = {
             ("watch sets after one change of a card", "ms"): self._watch,
             ("snapshot made for one slot", "ms"): self._snapshot,
-            ("a purge's slot applied", "ms"): lambda held: millis(
-                StateMachine().step, held, slot_of(held, purge_of(1))
+            ("a purge's slot applied", "ms"): lambda filled: millis(
+                StateMachine().apply, filled, slot_of(filled, purge_of(1))
             ),
-            ("tables written as text", "ms"): lambda held: millis(held.text),
-            ("tables read from text", "ms"): lambda held: millis(tables_from, held.text()),
-            ("tables as text", "bytes"): lambda held: len(held.text()),
-            ("tables in memory", "bytes"): lambda held: self._copied(held.text(), held_by),
-            ("tables in resident memory", "bytes"): lambda held: self._copied(
-                held.text(), lambda make: grown_by(make, 8)
+            ("tables written as text", "ms"): lambda filled: millis(filled.text),
+            ("tables read from text", "ms"): lambda filled: millis(tables_from, filled.text()),
+            ("tables as text", "bytes"): lambda filled: len(filled.text()),
+            ("tables in memory", "bytes"): lambda filled: self._copied(filled.text(), memory_of),
+            ("tables in resident memory", "bytes"): lambda filled: self._copied(
+                filled.text(), lambda make: grown_by(make, 8)
             ),
         }
         return [
@@ -113,7 +118,7 @@
                 name,
                 "daemons",
                 measure,
-                tuple((count, cost(held)) for count, held in tables.items()),
+                tuple((count, cost(filled)) for count, filled in tables.items()),
             )
             for (name, measure), cost in rows.items()
         ]
@@ -127,11 +132,10 @@
         }
         tables = FilledTables().make(Size(150, 310, 100))
 
-        def op(tree):
-            return {"op": "configuration", "tree": tree, "if_match": None}
-
         def state_update(tree):
-            return StateUpdate(1, tables.slot, 0, True, (slot_of(tables, op(tree)),))
+            return StateUpdate(
+                1, tables.slot, 0, True, (slot_of(tables, ConfigurationProposal(tree=tree)),)
+            )
 
         frames = {
             count: Codec().encode("10.0.0.1:7001", state_update(tree))
@@ -147,7 +151,9 @@
             ),
             ("configuration decoded", "ms"): lambda count: millis(Codec().decode, frames[count]),
             ("configuration's slot applied", "ms"): lambda count: millis(
-                StateMachine().step, tables, slot_of(tables, op(trees[count]))
+                StateMachine().apply,
+                tables,
+                slot_of(tables, ConfigurationProposal(tree=trees[count])),
             ),
             ("routes made of a configuration", "ms"): lambda count: millis(
                 lambda: SnapshotMaker().make(self._with(tables, trees[count]))
@@ -155,7 +161,7 @@
             ("tables written as text, by routes", "ms"): lambda count: millis(
                 self._with(tables, trees[count]).text
             ),
-            ("routes in memory", "bytes"): lambda count: held_by(
+            ("routes in memory", "bytes"): lambda count: memory_of(
                 lambda: SnapshotMaker().make(self._with(tables, trees[count]))
             ),
         }
@@ -172,7 +178,7 @@
             slot=tables.slot + 1,
             purges=(
                 *tables.purges[1:],
-                {**tables.purges[0], "path": "/no/such", "slot": tables.slot},
+                replace(tables.purges[0], path="/no/such", slot=tables.slot),
             ),
         )
         return [
@@ -224,7 +230,7 @@
         return millis(maker.make, tables)
 
     def _with(self, tables, tree):
-        return replace(tables, configuration={"version": 8, "tree": tree})
+        return replace(tables, configuration=ActiveConfiguration(version=8, tree=tree))
 
     def _cache(self, tables, entries):
         cache = CacheStore()
--- a/src/willowpost/drill/configuration_steps.py
+++ b/src/willowpost/drill/configuration_steps.py
@@ -22,11 +22,11 @@
         self.put_configuration("a changed configuration in force everywhere within 2 s")
         refused = self.fleet.call("PUT", "/v1/configuration", {**self.configuration, "nonsense": 1})
         stale = self.fleet.call("PUT", "/v1/configuration", self.configuration, {"If-Match": '"1"'})
-        held = self.fleet.call("GET", "/v1/configuration", first=1)
+        reply = self.fleet.call("GET", "/v1/configuration", first=1)
         self.findings.add(
             "an invalid or stale configuration changes nothing",
-            f"{refused[0]}, {stale[0]}, still {held[2]['version']}",
-            refused[0] == 422 and stale[0] == 412 and held[2]["version"] == self.version,
+            f"{refused[0]}, {stale[0]}, still {reply[2]['version']}",
+            refused[0] == 422 and stale[0] == 412 and reply[2]["version"] == self.version,
         )
 
     def large_configuration(self) -> None:
@@ -38,7 +38,7 @@
             }
             for number in range(LARGE_ROUTES)
         }
-        held, service = (
+        configuration, service = (
             copy.deepcopy(self.configuration),
             next(iter(self.configuration["services"])),
         )
@@ -60,7 +60,7 @@
             f"{over and over[0]}",
             over is not None and over[0] == 413,
         )
-        self.configuration = held
+        self.configuration = configuration
         self.put_configuration("the small configuration again in force everywhere within 2 s")
         self.figures["refusals while a large configuration came and went"] = (
             len(self.callers.tally.refusals) - mark
@@ -101,14 +101,14 @@
         answers = [task.get() for task in tasks]
         codes = sorted(answer[0] for answer in answers)
         winner = (first, second)[0 if answers[0][0] == 200 else 1]
-        held = self.fleet.call("GET", "/v1/configuration", first=3)
+        reply = self.fleet.call("GET", "/v1/configuration", first=3)
         self.findings.add(
             "two operators at once get truthful answers",
-            f"{codes}, read back {held[2]['version']}",
+            f"{codes}, read back {reply[2]['version']}",
             codes == [200, 412]
-            and held[2]["configuration"]["settings"]["tries"] == winner["settings"]["tries"],
+            and reply[2]["configuration"]["settings"]["tries"] == winner["settings"]["tries"],
         )
-        self.configuration, self.version = winner, held[2]["version"]
+        self.configuration, self.version = winner, reply[2]["version"]
 
     def purge(self, label: str = "purged content is gone within 2 s") -> None:
         """The content changes and all of it is purged: no old answer after the bound."""
@@ -119,18 +119,19 @@
         moment = self.clock.now()
         gevent.sleep(FORCE_SECONDS + 3)
         late = [
-            held
-            for held in self.callers.tally.versions
-            if held[0] > moment + FORCE_SECONDS * SECOND and held[1] < version
+            observed
+            for observed in self.callers.tally.versions
+            if observed[0] > moment + FORCE_SECONDS * SECOND and observed[1] < version
         ]
         checked = sum(
-            held[0] > moment + FORCE_SECONDS * SECOND for held in self.callers.tally.versions
+            observed[0] > moment + FORCE_SECONDS * SECOND
+            for observed in self.callers.tally.versions
         )
         last = max(
             (
-                held[0]
-                for held in self.callers.tally.versions
-                if held[0] > moment and held[1] < version
+                observed[0]
+                for observed in self.callers.tally.versions
+                if observed[0] > moment and observed[1] < version
             ),
             default=moment,
         )
--- a/src/willowpost/drill/control_history.py
+++ b/src/willowpost/drill/control_history.py
@@ -49,14 +49,14 @@
             self._sent[number] = json.dumps(value["configuration"] if numbered else value)
         return number
 
-    def answered(self, number: int, held) -> None:
+    def answered(self, number: int, reply) -> None:
         """Record what `ask` gave: (code, headers, value), or None when nobody answered."""
-        if held is None or held[0] >= UNSURE:
+        if reply is None or reply[0] >= UNSURE:
             self.recorder.answered(number, Answer(Outcome.UNKNOWN))
-        elif held[0] in REFUSED:
+        elif reply[0] in REFUSED:
             self.recorder.answered(number, Answer(Outcome.REFUSED))
-        elif held[0] == ACCEPTED:
-            self._accepted(number, held[2] or {})
+        elif reply[0] == ACCEPTED:
+            self._accepted(number, reply[2] or {})
         else:
             self.recorder.forget(number)
 
@@ -114,5 +114,5 @@
 
 
 def _version_of(headers) -> int | None:
-    said = headers.get("If-Match", "*").strip('"')
-    return None if said == "*" else int(said)
+    version = headers.get("If-Match", "*").strip('"')
+    return None if version == "*" else int(version)
--- a/src/willowpost/drill/crash_steps.py
+++ b/src/willowpost/drill/crash_steps.py
@@ -24,15 +24,15 @@
         self.fleet.start(proxy)
         back = self.fleet.until(lambda: self.all_up() and self.in_force(), RETURN_SECONDS, 0.2)
         self.excused.append((edge, began, self.clock.now()))
-        held = self.fleet.call("GET", "/v1/configuration", first=0)
+        reply = self.fleet.call("GET", "/v1/configuration", first=0)
         self.figures["store and proxy back after kill -9, s"] = rounded(back)
         self.findings.add(
             "a killed store and proxy come back, nothing accepted lost",
             f"configuration {during and during[2].get('version')} during, "
-            f"{held[2]['version']} after, back in {rounded(back)} s",
+            f"{reply[2]['version']} after, back in {rounded(back)} s",
             during[0] == 200
-            and held[2]["version"] == self.version
-            and held[2]["configuration"] is not None
+            and reply[2]["version"] == self.version
+            and reply[2]["configuration"] is not None
             and back is not None,
         )
 
@@ -46,9 +46,9 @@
         self.fleet.start(store)
         took = self.fleet.until(
             lambda: (
-                (held := self.status())
-                and held["epoch"] == epoch + 1
-                and not held["open"]
+                (status := self.status())
+                and status["epoch"] == epoch + 1
+                and not status["open"]
                 and self.all_up()
             ),
             30,
@@ -71,18 +71,18 @@
         began = self.clock.now()
         back = self.fleet.until(
             lambda: all(
-                held["age_ms"] is not None and held["age_ms"] < 1000
-                for held in self.fleet.stats().values()
+                page["age_ms"] is not None and page["age_ms"] < 1000
+                for page in self.fleet.stats().values()
             ),
             RETURN_SECONDS,
         )
-        held = self.fleet.call("GET", "/v1/configuration")
+        reply = self.fleet.call("GET", "/v1/configuration")
         self.excuse_refusals(began - SECOND, self.clock.now())
         self.figures["service back after all stores were killed, s"] = rounded(back)
         self.findings.add(
             "all stores killed at once: back within 15 s, nothing lost",
-            f"{rounded(back)} s, version {held and held[2]['version']}",
-            back is not None and held[2]["version"] == self.version,
+            f"{rounded(back)} s, version {reply and reply[2]['version']}",
+            back is not None and reply[2]["version"] == self.version,
         )
 
     def restart_in_turn(self) -> None:
@@ -119,7 +119,8 @@
         # seconds
         self.fleet.until(
             lambda: any(
-                held[4] == address and held[0] > thawed for held in self.callers.tally.versions
+                observed[4] == address and observed[0] > thawed
+                for observed in self.callers.tally.versions
             ),
             RETURN_SECONDS,
             0.2,
@@ -128,16 +129,16 @@
         self.excused.append((address, began, self.clock.now()))
         self.excuse_refusals(began, self.clock.now())
         old = [
-            held
-            for held in self.callers.tally.versions
-            if held[4] == address
-            and held[1] < version
-            and held[0] > moment + FORCE_SECONDS * SECOND
+            observed
+            for observed in self.callers.tally.versions
+            if observed[4] == address
+            and observed[1] < version
+            and observed[0] > moment + FORCE_SECONDS * SECOND
         ]
         answered = [
-            held
-            for held in self.callers.tally.versions
-            if held[4] == address and held[0] > moment + FORCE_SECONDS * SECOND
+            observed
+            for observed in self.callers.tally.versions
+            if observed[4] == address and observed[0] > moment + FORCE_SECONDS * SECOND
         ]
         self.findings.add(
             "a thawed proxy delivers nothing of its old snapshot",
--- a/src/willowpost/drill/deployment.py
+++ b/src/willowpost/drill/deployment.py
@@ -11,9 +11,9 @@
 def known() -> list[str]:
     """Names of the deployments that ship with willowpost."""
     return sorted(
-        held.name[:-5]
-        for held in files("willowpost.deployments").iterdir()
-        if held.name.endswith(".json")
+        file.name[:-5]
+        for file in files("willowpost.deployments").iterdir()
+        if file.name.endswith(".json")
     )
 
 
@@ -38,15 +38,20 @@
 
     def __init__(self, name: str | dict, folder: Path, port: int, subnet: int = 77):
         """Lays a deployment out: one that ships with willowpost, by its name, or a given one."""
-        held = name if isinstance(name, dict) else shipped(name)
-        self.name, self.host, self.rate = held["name"], held["host"], held["rate"]
+        stored = name if isinstance(name, dict) else shipped(name)
+        self.name, self.host, self.rate = stored["name"], stored["host"], stored["rate"]
         self.configuration, self.mix, self.pace, self.regions = (
-            held["configuration"],
-            held["mix"],
-            held["pace"],
-            held["regions"],
+            stored["configuration"],
+            stored["mix"],
+            stored["pace"],
+            stored["regions"],
+        )
+        self.machines, self.folder, self.port, self.subnet = (
+            stored["machines"],
+            folder,
+            port,
+            subnet,
         )
-        self.machines, self.folder, self.port, self.subnet = held["machines"], folder, port, subnet
         self.zones = sorted(self.regions)
         self.addresses = {
             machine["name"]: f"127.{subnet}.{self.zones.index(machine['zone']) + 1}.{number + 1}"
@@ -57,7 +62,7 @@
                 **origin,
                 "address": self._origin_address(origin["zone"], number),
             }
-            for number, origin in enumerate(held["origins"])
+            for number, origin in enumerate(stored["origins"])
         ]
 
     def _origin_address(self, zone, number):
--- a/src/willowpost/drill/fleet.py
+++ b/src/willowpost/drill/fleet.py
@@ -62,7 +62,7 @@
         self._write(self.processes[key])
         self.running[key].send_signal(signal.SIGHUP)
 
-    def said(self, key: str, words: str) -> bool:
+    def has_logged(self, key: str, words: str) -> bool:
         """Whether a process's log has these words."""
         process = self.processes[key]
         return (
@@ -78,7 +78,7 @@
     def start_origins(self, beat_seconds: float = 1.0) -> None:
         """Start the stand-in origins, in one process."""
         registries = self.registries()
-        cards = [
+        origins = [
             {
                 **origin,
                 "registries": registries[number % len(registries) :]
@@ -88,7 +88,7 @@
             for number, origin in enumerate(self.deployment.origins)
         ]
         path = self.deployment.folder / "origins.json"
-        path.write_text(json.dumps({"control": self.control, "origins": cards}, indent=1))
+        path.write_text(json.dumps({"control": self.control, "origins": origins}, indent=1))
         self._spawn(
             ORIGINS,
             ["-m", "willowpost.stand_ins.main", str(path)],
@@ -165,11 +165,11 @@
         for number in range(len(registries)):
             address = registries[(first + number) % len(registries)]
             call = self.history.sent(address, method, path, value, headers)
-            held = ask(address, method, path, value, headers)
+            reply = ask(address, method, path, value, headers)
             if call is not None:
-                self.history.answered(call, held)
-            if held is not None:
-                return held
+                self.history.answered(call, reply)
+            if reply is not None:
+                return reply
         return None
 
     def stats(self) -> dict[str, dict]:
@@ -180,9 +180,9 @@
             if key in self.running
         }
         return {
-            key: held[2]
+            key: reply[2]
             for key, task in tasks.items()
-            if (held := task.get()) is not None and held[0] == 200
+            if (reply := task.get()) is not None and reply[0] == 200
         }
 
     def until(self, condition, seconds: float, step: float = 0.05) -> float | None:
@@ -199,11 +199,11 @@
         want = len(self.processes)
 
         def joined():
-            held = self.call("GET", "/v1/status")
+            reply = self.call("GET", "/v1/status")
             return (
-                held is not None
-                and held[0] == 200
-                and sum(card["state"] == "up" for card in held[2]["daemons"].values()) >= want
+                reply is not None
+                and reply[0] == 200
+                and sum(daemon["state"] == "up" for daemon in reply[2]["daemons"].values()) >= want
                 and len(sound) == len(self.proxies())
             )
 
@@ -211,7 +211,7 @@
 
         def look():
             sound.clear()
-            sound.update({key: True for key, held in self.stats().items() if held["sound"]})
+            sound.update({key: True for key, page in self.stats().items() if page["sound"]})
             return joined()
 
         return self.until(look, seconds, 0.2)
--- a/src/willowpost/drill/history_size.py
+++ b/src/willowpost/drill/history_size.py
@@ -19,6 +19,7 @@
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.disk import SimDisk
 from willowpost.sim.world import seconds
+from willowpost.state.configuration_changes import ConfigurationProposal
 
 AWAY, VOTER = "s2", "s0"
 BEFORE = 3  # changes that the one that goes away still hears of
@@ -175,12 +176,10 @@
             world.add_store(name, name, zone)
 
     def _change(self, number):
-        op = {
-            "op": "configuration",
-            "tree": tree_of(number, self.routes),
-            "source": "s" * SOURCE_BYTES_PER_ROUTE * self.routes,
-        }
-        token = self.world.ask("caller", op)
+        proposal = ConfigurationProposal(
+            tree=tree_of(number, self.routes), source="s" * SOURCE_BYTES_PER_ROUTE * self.routes
+        )
+        token = self.world.ask("caller", proposal)
         self._until(lambda: token in self.world.replies, ACCEPT_SECONDS)
         self.world.replies.clear()
 
--- a/src/willowpost/drill/losses.py
+++ b/src/willowpost/drill/losses.py
@@ -33,7 +33,7 @@
             self.fleet.reload(process.key)
         heard = self.fleet.until(
             lambda: all(
-                self.fleet.said(key, "settings: read again") for key in self.fleet.processes
+                self.fleet.has_logged(key, "settings: read again") for key in self.fleet.processes
             ),
             5,
         )
@@ -81,9 +81,11 @@
 
         def operate(number):
             while not stopped:
-                held = self.fleet.call("PUT", "/v1/configuration", self.configuration, None, number)
-                if held is not None and held[0] == 200:
-                    accepted.append(held[2]["version"])
+                reply = self.fleet.call(
+                    "PUT", "/v1/configuration", self.configuration, None, number
+                )
+                if reply is not None and reply[0] == 200:
+                    accepted.append(reply[2]["version"])
 
         tasks = [gevent.spawn(operate, number) for number in range(3)]
         stores = [name + "/wpstore" for name in self.core_names()]
@@ -98,8 +100,8 @@
             self.fleet.until(self.all_up, 15, 0.2)
         stopped.append(True)
         gevent.joinall(tasks, timeout=10)
-        held = self.fleet.call("GET", "/v1/configuration", first=2)
-        self.version = held[2]["version"]
+        reply = self.fleet.call("GET", "/v1/configuration", first=2)
+        self.version = reply[2]["version"]
         self.findings.add(
             "power lost while writing: what was accepted stands",
             f"{len(accepted)} configurations, last {max(accepted)}, read back {self.version}",
--- a/src/willowpost/drill/origin_steps.py
+++ b/src/willowpost/drill/origin_steps.py
@@ -29,10 +29,10 @@
         self._start_cold(crashed, drained)
 
     def _addresses_by_service(self):
-        held: dict[str, list[str]] = {}
+        addresses: dict[str, list[str]] = {}
         for origin in self.deployment.origins:
-            held.setdefault(origin["service"], []).append(origin["address"])
-        return held
+            addresses.setdefault(origin["service"], []).append(origin["address"])
+        return addresses
 
     def _answer_wrongly(self, address):
         for mode in BROKEN_MODES:
@@ -56,7 +56,7 @@
         )
 
     def _known(self, address):
-        return any(card["address"] == address for card in self.status()["origins"].values())
+        return any(origin["address"] == address for origin in self.status()["origins"].values())
 
     def _start_cold(self, crashed, drained):
         self.fleet.steer("start", crashed)
--- a/src/willowpost/drill/rules.py
+++ b/src/willowpost/drill/rules.py
@@ -89,14 +89,14 @@
             f"{sum(map(len, self.ledger['services'].values()))} pairs, strays {strays[:2]}",
             not strays,
         )
-        refusals = [held for held in tally.refusals if held[0] >= since]
+        refusals = [refusal for refusal in tally.refusals if refusal[0] >= since]
         begun = sum(1 for began, _ in tally.latencies if began >= since)
         findings.add(
             "refusals stay a handful",
             f"{len(refusals)} of {begun}",
             len(refusals) <= max(5, REFUSALS_HANDFUL * begun),
         )
-        dropped = [held for held in tally.dropped if not self._excused(held)]
+        dropped = [request for request in tally.dropped if not self._excused(request)]
         findings.add(
             "no request dropped",
             f"{len(dropped)} dropped, {len(tally.dropped) - len(dropped)} at killed edges "
@@ -125,8 +125,8 @@
     def _excused(self, dropped: tuple[int, str, str]) -> bool:
         began, edge, _ = dropped
         return any(
-            (held is None or held == edge) and start <= began <= end
-            for held, start, end in self.excused
+            (excused_edge is None or excused_edge == edge) and start <= began <= end
+            for excused_edge, start, end in self.excused
         )
 
     def _most(self, service: str, span: int) -> int:
--- a/src/willowpost/drill/script.py
+++ b/src/willowpost/drill/script.py
@@ -66,13 +66,13 @@
         before = self.summed_stats()
         gevent.sleep(STEADY_SECONDS)
         span = (self.clock.now() - began) / SECOND
-        held = sorted(took for start, took in self.callers.tally.latencies if start >= began)
+        latencies = sorted(took for start, took in self.callers.tally.latencies if start >= began)
         after = self.summed_stats()
         hits, requests = (after[name] - before[name] for name in ("hits", "requests"))
         self.figures |= {
-            "served, requests/s": round(len(held) / span, 1),
-            "latency p50, ms": round(held[len(held) // 2] / 1000, 2),
-            "latency p99, ms": round(held[int(len(held) * 0.99)] / 1000, 2),
+            "served, requests/s": round(len(latencies) / span, 1),
+            "latency p50, ms": round(latencies[len(latencies) // 2] / 1000, 2),
+            "latency p99, ms": round(latencies[int(len(latencies) * 0.99)] / 1000, 2),
             "hits at edges and shields, part of requests there": round(hits / max(1, requests), 3),
         }
 
@@ -89,7 +89,9 @@
     def _judge_traffic(self):
         ledger, tally = self.fleet.ledger(), self.callers.tally
         ledger["paths"] = {kind["path"].strip("/"): kind["service"] for kind in self.deployment.mix}
-        tally.refusals = [held for held in tally.refusals if not self._refusal_excused(held[0])]
+        tally.refusals = [
+            refusal for refusal in tally.refusals if not self._refusal_excused(refusal[0])
+        ]
         TrafficRules(
             tally, ledger, self.configuration["services"], self.deployment.origins, self.excused
         ).judge(self.findings, self.since)
@@ -98,12 +100,12 @@
         return any(start <= moment <= end for start, end in self.excused_refusals)
 
     def _judge_read_back(self):
-        held = self.fleet.call("GET", "/v1/configuration", first=2)
+        reply = self.fleet.call("GET", "/v1/configuration", first=2)
         self.findings.add(
             "read back: the last accepted configuration",
-            f"version {held[2]['version']} of {self.version}",
-            held[2]["version"] == self.version
-            and held[2]["configuration"]["settings"] == self.configuration["settings"],
+            f"version {reply[2]['version']} of {self.version}",
+            reply[2]["version"] == self.version
+            and reply[2]["configuration"]["settings"] == self.configuration["settings"],
         )
         whole = self.fleet.until(
             lambda: len({answer[2]["digest"] for answer in self.statuses()}) == 1, 5
--- a/src/willowpost/drill/soak/judge.py
+++ b/src/willowpost/drill/soak/judge.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class ShutdownRequested:
+class OriginShutdown:
     """An origin that said that it leaves: from the acknowledgement to the end of that process."""
 
     address: str
@@ -33,7 +33,7 @@
             have been out of touch; only those that serve on past their lease are excused by it.
     """
 
-    leaves: list[ShutdownRequested] = field(default_factory=list)
+    leaves: list[OriginShutdown] = field(default_factory=list)
     killed: dict[str, list[tuple[int, int]]] = field(default_factory=dict)
     out_of_touch: list[tuple[int, int]] = field(default_factory=list)
 
@@ -61,8 +61,8 @@
         self._add(findings, "no once-only request runs twice", f"{len(self.runs)} ran", twice)
         lied = [
             name
-            for name, held in sent.items()
-            if held.kind == ONCE and held.status in NOT_RUN and self.runs.get(name)
+            for name, request in sent.items()
+            if request.kind == ONCE and request.status in NOT_RUN and self.runs.get(name)
         ]
         self._add(findings, "what is told not-run has not run", f"{len(sent)} sent", lied)
         self._add(findings, "no answer is another's", "", self.tally.wrong)
@@ -75,13 +75,17 @@
         findings.add(rule, f"{seen} {len(broken)} broken{shown}".strip(), not broken)
 
     def _after_leaving(self):
-        left = {name: held for name, held in self.tally.sent.items() if held.left_at is not None}
+        left = {
+            name: request
+            for name, request in self.tally.sent.items()
+            if request.left_at is not None
+        }
         late = [
-            f"{name} to {address} {(at - held.left_at) / SECOND:.2f} s after"
-            for name, held in left.items()
-            if held.kind != KEPT
+            f"{name} to {address} {(at - request.left_at) / SECOND:.2f} s after"
+            for name, request in left.items()
+            if request.kind != KEPT
             for address, at in self.arrivals.get(name, ())
-            if at > held.left_at + GONE_AFTER
+            if at > request.left_at + GONE_AFTER
         ]
         return f"{len(left)} left, {len(late)} late,", late if len(late) > GONE_FEW else []
 
@@ -105,16 +109,16 @@
     def _unanswered(self):
         """Requests that an origin had and whose connection the edge ended without a word."""
         lost = [
-            f"{name} of {held.edge}: {held.ended}"
-            for name, held in self.tally.sent.items()
-            if held.ended
-            and held.alone
-            and not held.ended.startswith("not sent")
+            f"{name} of {request.edge}: {request.ended}"
+            for name, request in self.tally.sent.items()
+            if request.ended
+            and request.alone
+            and not request.ended.startswith("not sent")
             and self.arrivals.get(name)
-            and not self._was_down(held.edge, held.sent_at)
+            and not self._was_down(request.edge, request.sent_at)
         ]
         return (
-            f"{sum(held.status is not None for held in self.tally.sent.values())} answered,",
+            f"{sum(request.status is not None for request in self.tally.sent.values())} answered,",
             lost,
         )
 
--- a/src/willowpost/drill/soak/process.py
+++ b/src/willowpost/drill/soak/process.py
@@ -31,9 +31,9 @@
 
     def cuts(self, address: str) -> bool:
         """Whether nothing passes between this process and an address now."""
-        held = os.stat(self.path)
+        status = os.stat(self.path)
         # each writing is a new file; the time alone is the same for writings a moment apart
-        seen = (held.st_ino, held.st_mtime_ns, held.st_size)
+        seen = (status.st_ino, status.st_mtime_ns, status.st_size)
         if seen != self.seen:
             pairs = json.loads(self.path.read_text())
             self.others = {
--- a/src/willowpost/drill/soak/run.py
+++ b/src/willowpost/drill/soak/run.py
@@ -12,7 +12,7 @@
 from willowpost.drill.rules import Findings
 from willowpost.drill.soak.callers import SoakCallers
 from willowpost.drill.soak.fleet import CONFIGURATION, HOST, SoakFleet, layout
-from willowpost.drill.soak.judge import ShutdownRequested, Record, SoakRules
+from willowpost.drill.soak.judge import Record, ShutdownRequested, SoakRules
 from willowpost.drill.soak.schedule import Kind, Parts, Trouble, drawn
 from willowpost.stand_ins.callers import ask
 
@@ -88,8 +88,8 @@
         gevent.sleep(WARM_SECONDS)
 
     def _origins_known(self):
-        held = self.fleet.call("GET", "/v1/status")
-        return held and len(held[2].get("origins", {})) == len(self.fleet.deployment.origins)
+        reply = self.fleet.call("GET", "/v1/status")
+        return reply and len(reply[2].get("origins", {})) == len(self.fleet.deployment.origins)
 
     def _trouble(self):
         keys = tuple(self.fleet.processes)
@@ -206,22 +206,22 @@
             self.fleet.steer(do, address, **more)
 
     def _leave(self, address):
-        held = self.fleet.steer("drain", address)
+        reply = self.fleet.steer("drain", address)
         acknowledged_at = self.clock.now()
         gevent.sleep(LEAVER_SERVES_SECONDS)
         ended_at = self.clock.now()
         self._steer([address], "crash")
         self._steer([address], "start")
-        if held is not None and held[0] == 200 and held[2]:
+        if reply is not None and reply[0] == 200 and reply[2]:
             self.record.leaves.append(ShutdownRequested(address, acknowledged_at, ended_at))
 
     def _change(self) -> bool:
         """Proposes another configuration; whether it was accepted."""
         self.configuration["settings"]["deadline_ms"] += 1
-        held = self.fleet.call("PUT", "/v1/configuration", self.configuration)
-        if held is None or held[0] != 200:
+        reply = self.fleet.call("PUT", "/v1/configuration", self.configuration)
+        if reply is None or reply[0] != 200:
             return False
-        self.version = max(self.version, held[2]["version"])
+        self.version = max(self.version, reply[2]["version"])
         return True
 
     def _heal(self):
@@ -231,11 +231,13 @@
         self.findings.add("the fleet is whole again", seen, whole is not None)
 
     def _whole(self):
-        held = self.fleet.stats()
-        self.missing = [f"{key} does not answer" for key in self.fleet.proxies() if key not in held]
+        stats = self.fleet.stats()
+        self.missing = [
+            f"{key} does not answer" for key in self.fleet.proxies() if key not in stats
+        ]
         self.missing += [
             f"{key}: {one['version']} of {self.version}, sound: {one['sound']}, {one['age_ms']} ms"
-            for key, one in held.items()
+            for key, one in stats.items()
             if not one["sound"] or one["version"] < self.version
         ]
         answers = [ask(address, "GET", "/v1/status") for address in self.fleet.registries()]
@@ -259,7 +261,7 @@
         lines = self._violations()
         self.findings.add("no invariant was violated", f"{len(lines)} {lines[:3]}", not lines)
         self.findings.add("no process ended by itself", str(self.ended), not self.ended)
-        left = sum(held.get("without_caller", 0) for held in self.fleet.stats().values())
+        left = sum(page.get("without_caller", 0) for page in self.fleet.stats().values())
         self.findings.add("nothing is under way without a caller", str(left), not left)
 
     def _violations(self):
--- a/src/willowpost/drill/tools.py
+++ b/src/willowpost/drill/tools.py
@@ -95,11 +95,11 @@
 
     def handle(self) -> int:
         """Print a row for each freeze time, jitter and rate."""
-        held = json.loads(
+        deployment = json.loads(
             (files("willowpost.deployments") / f"{self.argument('deployment')}.json").read_text()
         )
-        zones = [machine["zone"] for machine in held["machines"] if machine["kind"] != "edge"]
-        own = held["pace"]
+        zones = [machine["zone"] for machine in deployment["machines"] if machine["kind"] != "edge"]
+        own = deployment["pace"]
         self.line(
             "freeze ms | jitter ms | asked /s | commands | slots | NULL | fast path | "
             "accepted p50 ms | p99 ms"
@@ -112,8 +112,8 @@
                     )
                     found = PaceMeasure(
                         zones,
-                        held["regions"],
-                        held["between"]["ms"] * MILLI,
+                        deployment["regions"],
+                        deployment["between"]["ms"] * MILLI,
                         int(float(jitter) * MILLI),
                         pace,
                         float(rate),
@@ -180,10 +180,10 @@
         if self.argument("what") not in SWEPT:
             self.line_error(json.dumps({"place": "what", "finding": f"one of {', '.join(SWEPT)}"}))
             return 2
-        held = json.loads(
+        deployment = json.loads(
             (files("willowpost.deployments") / f"{self.option('deployment')}.json").read_text()
         )
-        far = {"regions": held["regions"], "between": held["between"]["ms"]}
+        far = {"regions": deployment["regions"], "between": deployment["between"]["ms"]}
         first, count, margin, broke = (
             int(self.option("first")),
             int(self.option("count")),
--- a/src/willowpost/drill/zones.py
+++ b/src/willowpost/drill/zones.py
@@ -30,7 +30,7 @@
     def _judge_refusals(self, zone, route, mark):
         tally = self.callers.tally
         refused, begun = len(tally.refusals) - mark[1], len(tally.latencies) - mark[2]
-        why = sorted({held[2][10:60] for held in tally.refusals[mark[1] :]})[:3]
+        why = sorted({refusal[2][10:60] for refusal in tally.refusals[mark[1] :]})[:3]
         self.findings.add(
             f"zone {zone} by {route}: refusals stay a handful",
             f"{refused} of {begun} {why or ''}",
--- a/src/willowpost/history/codec.py
+++ b/src/willowpost/history/codec.py
@@ -43,26 +43,26 @@
     try:
         header = json.loads(line)
         known = header["kind"] == HEADER_KIND
-        held = header["format"]
+        format_number = header["format"]
     except (ValueError, KeyError, TypeError) as problem:
         raise HistoryFormatError("line 1: not the header of a history") from problem
-    if not known or held != FORMAT:
-        raise HistoryFormatError(f"line 1: format {held} is not known, only {FORMAT}")
+    if not known or format_number != FORMAT:
+        raise HistoryFormatError(f"line 1: format {format_number} is not known, only {FORMAT}")
 
 
 def _encode(call: Call) -> dict:
-    held = asdict(call)
-    held["request"]["operation"] = call.request.operation.value
-    held["answer"]["outcome"] = call.answer.outcome.value
-    return held
+    stored = asdict(call)
+    stored["request"]["operation"] = call.request.operation.value
+    stored["answer"]["outcome"] = call.answer.outcome.value
+    return stored
 
 
 def _decode(line: str, number: int) -> Call:
     try:
-        held = json.loads(line)
-        request, answer = held.pop("request"), held.pop("answer")
+        stored = json.loads(line)
+        request, answer = stored.pop("request"), stored.pop("answer")
         call = Call(
-            **held,
+            **stored,
             request=Request(**{**request, "operation": Operation(request["operation"])}),
             answer=Answer(**{**answer, "outcome": Outcome(answer["outcome"])}),
         )
--- a/src/willowpost/history/records.py
+++ b/src/willowpost/history/records.py
@@ -107,7 +107,7 @@
             )
             if part
         )
-        said = " ".join(
+        answered = " ".join(
             part
             for part in (
                 answer.outcome.value,
@@ -121,5 +121,5 @@
         end = "never" if self.returned_at is None else f"{self.returned_at / 1e6:.6f} s"
         return (
             f"[{self.invoked_at / 1e6:.6f} s .. {end}] #{self.number} {self.caller}: "
-            f"{asked} -> {said}"
+            f"{asked} -> {answered}"
         )
--- a/src/willowpost/history/registers.py
+++ b/src/willowpost/history/registers.py
@@ -112,7 +112,9 @@
         named += [call.request.version for call in calls if call.request.version is not None]
         unknown = sum(call.outcome is Outcome.UNKNOWN for call in calls)
         versions = {NOTHING_HELD, max(named, default=NOTHING_HELD) + 1}
-        versions |= {held - back for held in named for back in range(unknown + 2) if held >= back}
+        versions |= {
+            version - back for version in named for back in range(unknown + 2) if version >= back
+        }
         contents = {UNOBSERVED, *(answer.content for answer in answers)}
         contents |= {call.request.content for call in calls}
         accepted = frozenset(
@@ -154,10 +156,10 @@
         if request.version == state.version and request.content != state.content:
             return ()
         repeat = (request.version, request.content) in state.accepted
-        held = answer.version in (None, state.version) or (
+        is_in_force = answer.version in (None, state.version) or (
             repeat and answer.version == request.version
         )
-        return (state,) if held and answer.changed is not True else ()
+        return (state,) if is_in_force and answer.changed is not True else ()
 
     def _put(self, state, request: Request, answer: Answer):
         found = []
--- a/src/willowpost/model/actions.py
+++ b/src/willowpost/model/actions.py
@@ -131,12 +131,12 @@
     return {"do": type(action).__name__, **asdict(action)}
 
 
-def from_json(held: dict[str, Any]) -> Action:
+def from_json(stored: dict[str, Any]) -> Action:
     """The action of `to_json`.
 
     Raises:
         KeyError: no action of that kind.
         TypeError: fields that the kind does not have.
     """
-    rest = {name: value for name, value in held.items() if name != "do"}
-    return _KINDS[held["do"]](**rest)
+    rest = {name: value for name, value in stored.items() if name != "do"}
+    return _KINDS[stored["do"]](**rest)
--- a/src/willowpost/model/disk_facts.py
+++ b/src/willowpost/model/disk_facts.py
@@ -4,40 +4,46 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from willowpost.consensus.replica.barrier import previous_identities
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.model.logical_time import NOW
-from willowpost.wire.messages import Member
+from willowpost.state.apply.voters import is_change_complete
+from willowpost.state.codec import MEMBER
 
 
 @dataclass(frozen=True, slots=True)
 class DiskFacts:
     """A disk's identity, how far its log goes, and whom it holds for the voters.
 
-    `opened`: something of the epoch in force was decided, or its barrier was passed.
+    Attributes:
+        identity: of the store.
+        slot: below which it holds all decisions.
+        epoch: in force by its log.
+        voters: identities of that epoch's voters.
+        previous_voters: identities of the voters before the last change; empty: there was none.
+        opened: something of the epoch in force was decided, or its barrier was passed.
     """
 
     identity: str
     slot: int
     epoch: int
-    core: frozenset[str]
-    former: frozenset[str]
+    voters: frozenset[str]
+    previous_voters: frozenset[str]
     opened: bool
 
 
 def read_disk(lines: Sequence[str]) -> DiskFacts:
     """The facts of a disk whose records are these JSON texts, oldest first."""
     records = [json.loads(line) for line in lines]
-    me = Member(records[0]["identity"], records[0]["name"])
+    me = MEMBER.decode(records[0])
     state = ReplicaState(me)
     state.restore(records, NOW)
     tables = state.tables
-    former = tables.former
-    changed_at = former["slot"] if former else -1
     return DiskFacts(
         identity=me.identity,
         slot=tables.slot,
         epoch=tables.epoch,
-        core=frozenset(member["identity"] for member in tables.core),
-        former=frozenset(member["identity"] for member in former.get("core", ())),
-        opened=not former or state.passed >= tables.epoch or tables.slot > changed_at + 1,
+        voters=tables.voter_identities(),
+        previous_voters=frozenset(previous_identities(tables)),
+        opened=state.passed >= tables.epoch or is_change_complete(tables),
     )
--- a/src/willowpost/model/enabled.py
+++ b/src/willowpost/model/enabled.py
@@ -17,7 +17,7 @@
     Tick,
     Wipe,
 )
-from willowpost.model.invariants import cores_in_force, lost_voters
+from willowpost.model.invariants import lost_voters, voters_in_force
 from willowpost.model.parts import Parts
 from willowpost.model.steps import SHORT_TICK, Outcome, ProcessSteps
 from willowpost.model.system_state import DOWN, GONE, SystemState
@@ -107,16 +107,16 @@
         identity = self.parts.facts(state.disks[number]).identity
         left = [facts for facts in self.parts.disk_facts(state) if facts.identity != identity]
         return all(
-            lost_voters(core, left) <= Thresholds(len(core)).f
-            for core in cores_in_force(self.parts.disk_facts(state))
+            lost_voters(voters, left) <= Thresholds(len(voters)).f
+            for voters in voters_in_force(self.parts.disk_facts(state))
         )
 
     def is_replaced(self, state: SystemState, number: int) -> bool:
         """Whether the store was a voter and is none by the latest change."""
         facts = self.parts.disk_facts(state)
         identity = self.parts.facts(state.disks[number]).identity
-        newest = cores_in_force(facts)[0]
-        return identity not in newest and any(identity in held.former for held in facts)
+        newest = voters_in_force(facts)[0]
+        return identity not in newest and any(identity in disk.previous_voters for disk in facts)
 
     def _on_links(self, state: SystemState) -> Iterator[Action]:
         if state.budget.cuts:
--- a/src/willowpost/model/history.py
+++ b/src/willowpost/model/history.py
@@ -48,33 +48,33 @@
 
     def with_decided(self, slot: int, key: str) -> "History":
         """Some replica decided this."""
-        held = (slot, key)
-        if held in self.decided:
+        decision = (slot, key)
+        if decision in self.decided:
             return self
-        return replace(self, decided=tuple(sorted((*self.decided, held))))
+        return replace(self, decided=tuple(sorted((*self.decided, decision))))
 
     def with_accepted(self, slot: int, key: str) -> "History":
         """Some replica told a client that its command is accepted."""
-        held = (slot, key)
-        if held in self.accepted:
+        acceptance = (slot, key)
+        if acceptance in self.accepted:
             return self
-        return replace(self, accepted=tuple(sorted((*self.accepted, held))))
+        return replace(self, accepted=tuple(sorted((*self.accepted, acceptance))))
 
     def with_ballot(self, place: BallotPlace, ballot: BallotState) -> "History":
         """Some replica sent this ballot state, the furthest of its place so far."""
-        held = {**dict(self.ballots), place: ballot}
-        return replace(self, ballots=tuple(sorted(held.items(), key=lambda item: item[0])))
+        ballots = {**dict(self.ballots), place: ballot}
+        return replace(self, ballots=tuple(sorted(ballots.items(), key=lambda item: item[0])))
 
     def with_claimed_slot(self, identity: str, slot: int) -> "History":
         """Some replica claimed to hold every slot below this one."""
-        held = dict(self.claimed_slots)
-        if held.get(identity, 0) >= slot:
+        claimed_slots = dict(self.claimed_slots)
+        if claimed_slots.get(identity, 0) >= slot:
             return self
-        return replace(self, claimed_slots=tuple(sorted({**held, identity: slot}.items())))
+        return replace(self, claimed_slots=tuple(sorted({**claimed_slots, identity: slot}.items())))
 
     def with_version(self, version: int, digest: str) -> "History":
         """Some replica holds this content under this version number."""
-        held = (version, digest)
-        if held in self.versions:
+        content = (version, digest)
+        if content in self.versions:
             return self
-        return replace(self, versions=tuple(sorted((*self.versions, held))))
+        return replace(self, versions=tuple(sorted((*self.versions, content))))
--- a/src/willowpost/model/invariants.py
+++ b/src/willowpost/model/invariants.py
@@ -5,12 +5,21 @@
 from typing import Any
 
 from willowpost.common.digest import blake2b
+from willowpost.consensus.replica.records import RecordKind
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.model.disk_facts import DiskFacts
 from willowpost.model.history import BallotPlace, History
-from willowpost.wire.messages import CommandAccepted, BallotState, QuorumReadResponse, SyncedIndex
-
-Operation = Mapping[str, Any]
+from willowpost.state.codec import decode_results
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.operations import Operation
+from willowpost.state.results import ConfigurationAccepted, Result
+from willowpost.state.tables import Tables
+from willowpost.wire.messages import (
+    BallotState,
+    CommandAccepted,
+    QuorumReadResponse,
+    SyncedIndex,
+)
 
 
 class Violation(AssertionError):
@@ -33,7 +42,7 @@
 def record_decisions(history: History, records: Iterable[dict[str, Any]], where: str) -> History:
     """Agreement: one decision a slot, over all replicas that ever wrote one."""
     for record in records:
-        if record["k"] not in ("decision", "kept"):
+        if record["k"] not in (RecordKind.DECISION, RecordKind.KEPT):
             continue
         slot, key = record["slot"], record["key"]
         known = dict(history.decided).get(slot, key)
@@ -58,11 +67,12 @@
         case BallotState():
             return _record_ballot(history, message, where)
         case CommandAccepted(key, slot, answers):
-            told = json.loads(answers)
-            if not isinstance(told, list):
+            stored_results = json.loads(answers)
+            if not isinstance(stored_results, list):
                 return history  # barred, or forgotten: nothing was promised
             history = history.with_accepted(slot, key)
-            return _record_confirmation(history, operations.get(key, {}), told[0], where)
+            result = decode_results(stored_results)[0]
+            return _record_confirmation(history, operations.get(key), result, where)
         case SyncedIndex(identity, slot) | QuorumReadResponse(_, identity, slot):
             if slot < dict(history.claimed_slots).get(identity, 0):
                 raise Violation(WENT_BACK, f"{where} says slot {slot}, as {identity}, said more")
@@ -108,30 +118,32 @@
     )
 
 
-def record_configuration(history: History, tables: Any, where: str) -> History:
+def record_configuration(history: History, tables: Tables, where: str) -> History:
     """One content under one version number, over all processes that ever held one."""
-    held = tables.configuration
-    if held["tree"] is None:
+    configuration = tables.configuration
+    if configuration.tree is None:
         return history
-    return _with_content(history, held["version"], held["tree"], f"{where} holds")
+    return _with_content(history, configuration.version, configuration.tree, f"{where} holds")
 
 
 def _record_confirmation(
-    history: History, operation: Operation, answer: dict[str, Any], where: str
+    history: History, operation: Operation | None, result: Result, where: str
 ) -> History:
     """A configuration that is confirmed under its number is the content of that number."""
-    if operation.get("op") != "configuration" or not answer.get("ok"):
+    if not isinstance(operation, ConfigurationProposal):
+        return history
+    if not isinstance(result, ConfigurationAccepted):
         return history
-    if answer["version"] != operation["version"]:
-        return history  # a later one is in force, and the answer says so
-    return _with_content(history, answer["version"], operation["tree"], f"{where} confirms")
+    if result.version != operation.version:
+        return history  # a later one is in force, and the result says so
+    return _with_content(history, result.version, operation.tree, f"{where} confirms")
 
 
-def _with_content(history: History, version: int, tree: object, said: str) -> History:
+def _with_content(history: History, version: int, tree: object, statement: str) -> History:
     digest = blake2b(json.dumps(tree, sort_keys=True).encode(), digest_size=8).hexdigest()
     known = dict(history.versions).get(version, digest)
     if known != digest:
-        raise Violation(ONE_CONTENT, f"{said} another content under version {version}")
+        raise Violation(ONE_CONTENT, f"{statement} another content under version {version}")
     return history.with_version(version, digest)
 
 
@@ -179,18 +191,18 @@
     return max(disks, key=lambda facts: (facts.epoch, facts.opened, facts.slot))
 
 
-def lost_voters(core: frozenset[str], disks: Sequence[DiskFacts]) -> int:
+def lost_voters(voters: frozenset[str], disks: Sequence[DiskFacts]) -> int:
     """How many of these voters have lost their disk, and with it their identity."""
-    return len(core - {facts.identity for facts in disks})
+    return len(voters - {facts.identity for facts in disks})
 
 
-def cores_in_force(disks: Sequence[DiskFacts]) -> list[frozenset[str]]:
-    """The voters in force; the former ones too until the new epoch has been opened."""
+def voters_in_force(disks: Sequence[DiskFacts]) -> list[frozenset[str]]:
+    """The voters in force; the previous ones too until the new epoch has been opened."""
     newest = newest_epoch(disks)
     opened = any(facts.epoch == newest.epoch and facts.opened for facts in disks)
-    if opened or not newest.former:
-        return [newest.core]
-    return [newest.core, newest.former]
+    if opened or not newest.previous_voters:
+        return [newest.voters]
+    return [newest.voters, newest.previous_voters]
 
 
 def check_durability(disks: Sequence[DiskFacts], history: History) -> None:
@@ -200,18 +212,18 @@
     has opened a new epoch, the voters of the former one may be the ones that hold it.
     """
     bound = history.bound()
-    cores = cores_in_force(disks)
-    if not bound or any(_holds(core, disks, bound) for core in cores):
+    electorates = voters_in_force(disks)
+    if not bound or any(_holds(voters, disks, bound) for voters in electorates):
         return
     holding = sorted(facts.identity for facts in disks if facts.slot >= bound)
     raise Violation(
         DURABILITY,
-        f"all below slot {bound} was accepted; of the voters {sorted(cores[0])} it stands only on "
+        f"all below slot {bound} was accepted; of the voters {sorted(electorates[0])} it stands only on "
         f"the disks of {holding}",
     )
 
 
-def _holds(core: frozenset[str], disks: Sequence[DiskFacts], bound: int) -> bool:
-    limits = Thresholds(len(core))
-    holding = sum(facts.identity in core and facts.slot >= bound for facts in disks)
-    return holding >= limits.heard - lost_voters(core, disks)
+def _holds(voters: frozenset[str], disks: Sequence[DiskFacts], bound: int) -> bool:
+    limits = Thresholds(len(voters))
+    holding = sum(facts.identity in voters and facts.slot >= bound for facts in disks)
+    return holding >= limits.heard - lost_voters(voters, disks)
--- a/src/willowpost/model/operations.py
+++ b/src/willowpost/model/operations.py
@@ -1,64 +1,62 @@
 """The operations of the log that scopes use."""
 
-from dataclasses import asdict
-
 from willowpost.model.processes import incarnation_of, member_of
 from willowpost.model.scope import Machine
-
-Operation = dict[str, object]
-EMPTY_A_ZONE: Operation = {"op": "zone", "zone": "a", "empty": True}
-EMPTY_B_ZONE: Operation = {"op": "zone", "zone": "b", "empty": True}
-
-
-def configuration(number: int, host: str) -> Operation:
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.entries import DaemonDescriptor
+from willowpost.state.operations import (
+    EvacuateZone,
+    JoinDaemon,
+    OfferVoter,
+    ReplaceVoter,
+    ReportSuspicion,
+)
+
+MAX_VOTERS = 5
+EVACUATE_ZONE_A = EvacuateZone("a", is_evacuated=True)
+EVACUATE_ZONE_B = EvacuateZone("b", is_evacuated=True)
+
+
+def configuration(number: int, host: str) -> ConfigurationProposal:
     """An operator gives the configuration this number."""
-    return {"op": "configuration", "version": number, "tree": {"host": host}}
+    return ConfigurationProposal(version=number, tree={"host": host})
 
 
-def card(machine: Machine, state: str) -> Operation:
-    """A store's card as it joins."""
-    identity = member_of(machine).identity
-    return {
-        "id": identity,
-        "kind": "store",
-        "name": machine.name,
-        "zone": machine.zone,
-        "address": machine.name,
-        "incarnation": incarnation_of(1),
-        "state": state,
-    }
+def descriptor(machine: Machine) -> DaemonDescriptor:
+    """A store's description of itself as it joins."""
+    member = member_of(machine)
+    return DaemonDescriptor(
+        id=member.identity,
+        kind="store",
+        role="core",
+        name=member.name,
+        zone=member.zone,
+        address=member.address,
+        http="",
+        incarnation=incarnation_of(1),
+    )
 
 
-def joined(machine: Machine) -> Operation:
+def joined(machine: Machine) -> JoinDaemon:
     """A store joins."""
-    return {"op": "join", "daemon": card(machine, "up")}
+    return JoinDaemon(descriptor(machine))
 
 
-def suspected(target: Machine, watcher: Machine) -> Operation:
+def suspected(target: Machine, watcher: Machine) -> ReportSuspicion:
     """One store suspects another."""
-    return {
-        "op": "suspicion",
-        "target": member_of(target).identity,
-        "incarnation": incarnation_of(1),
-        "watcher": member_of(watcher).identity,
-        "suspected": True,
-    }
+    return ReportSuspicion(
+        member_of(target).identity,
+        incarnation_of(1),
+        member_of(watcher).identity,
+        is_suspected=True,
+    )
 
 
-def replacement(old: Machine, new: Machine) -> Operation:
-    """A learner takes a voter's seat."""
-    return {
-        "op": "replace_voter",
-        "old": member_of(old).identity,
-        "new": asdict(member_of(new)),
-    }
+def replacement(replaced: Machine, learner: Machine) -> ReplaceVoter:
+    """A learner replaces a voter."""
+    return ReplaceVoter(member_of(replaced).identity, member_of(learner))
 
 
-def offer(learner: Machine) -> Operation:
+def offer(learner: Machine) -> OfferVoter:
     """A learner offers itself as one more voter."""
-    return {
-        "op": "add_voters",
-        "learner": member_of(learner).identity,
-        "incarnation": incarnation_of(1),
-        "most": 5,
-    }
+    return OfferVoter(member_of(learner).identity, incarnation_of(1), MAX_VOTERS)
--- a/src/willowpost/model/process_image.py
+++ b/src/willowpost/model/process_image.py
@@ -72,10 +72,10 @@
     if kind is MethodType:
         return MethodType(value.__func__, _copy(value.__self__, number, copies))
     if kind is dict:
-        held = copies[id(value)] = {}
+        entries = copies[id(value)] = {}
         for key, item in value.items():
-            held[key] = _copy(item, number, copies)
-        return held
+            entries[key] = _copy(item, number, copies)
+        return entries
     if kind is list:
         items = copies[id(value)] = []
         items.extend([_copy(item, number, copies) for item in value])
@@ -125,17 +125,17 @@
             return (kind, value.__func__, self._key(value.__self__, seen))
         return self._object_key(value, seen)
 
-    def _items(self, held: dict[Any, Any], seen: dict[int, int]) -> list[tuple[Any, Hashable]]:
+    def _items(self, entries: dict[Any, Any], seen: dict[int, int]) -> list[tuple[Any, Hashable]]:
         """A dictionary's entries; their order, which the controllers do not rely on, is dropped."""
         return sorted(
-            [(key, self._key(item, seen)) for key, item in held.items()],
+            [(key, self._key(item, seen)) for key, item in entries.items()],
             key=lambda entry: repr(entry[0]),
         )
 
     def _frozen_key(self, value: Any) -> Hashable:
         known = self._frozen.get(id(value))
         if known is None:
-            items = [self._key(getattr(value, held.name), {}) for held in fields(value)]
+            items = [self._key(getattr(value, field.name), {}) for field in fields(value)]
             if any(type(item) is int and is_time(item) for item in items):
                 raise ValueError(f"a moment stands inside the frozen {value!r}")
             known = self._frozen[id(value)] = (value, (type(value), *items))
--- a/src/willowpost/model/processes.py
+++ b/src/willowpost/model/processes.py
@@ -2,24 +2,26 @@
 
 import json
 from collections.abc import Sequence
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Any
 
 from willowpost.common.events import Received
 from willowpost.common.events import Tick as TickEvent
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.bootstrap import VoterPolicy
-from willowpost.consensus.replica.records import decision_record, identity_record
+from willowpost.consensus.replica.records import decision_record, founding_record, identity_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.model.logical_time import NOW, wall_clock
 from willowpost.model.scope import Machine, Role, Scope
 from willowpost.node.command_client import CommandClient
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.node.follower import Follower
 from willowpost.node.join import FleetJoin
-from willowpost.node.node_state import DaemonDescriptor, NodeState
+from willowpost.node.node_state import NodeState
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.failure_detector import FailureDetector
+from willowpost.state.codec import MEMBER, encode_operation
+from willowpost.state.entries import DaemonDescriptor
 from willowpost.state.tables import Tables
 from willowpost.store.node import StoreNode
 from willowpost.wire.messages import Command, Decision, Member
@@ -38,19 +40,21 @@
 class Addresses:
     """A fixed list of stores, nearest first, for a command client."""
 
-    held: tuple[str, ...]
+    addresses: tuple[str, ...]
 
     def __call__(self) -> list[str]:
         """The addresses, nearest first."""
-        return list(self.held)
+        return list(self.addresses)
 
 
 class ReaderNode:
     """A process whose follower is kept fresh by its own quorum reads only, as in a registry."""
 
     def __init__(self, tables: Tables) -> None:
-        card = DaemonDescriptor(READER, "registry", "core", READER, "z", READER, "", incarnation_of(1))
-        self.node_state = NodeState(card, tables)
+        descriptor = DaemonDescriptor(
+            READER, "registry", "core", READER, "z", READER, "", incarnation_of(1)
+        )
+        self.node_state = NodeState(descriptor, tables)
         self.follower = Follower(self.node_state, (), tree=False)
         self.quorum_read = QuorumRead(self.node_state, self.follower)
 
@@ -111,8 +115,8 @@
 
 
 def _founded_disk(scope: Scope, machine: Machine) -> list[Record]:
-    core = [asdict(member_of(each)) for each in voters_of(scope)]
-    records = [identity_record(member_of(machine)), {"k": "found", "core": core}]
+    voters = tuple(member_of(each) for each in voters_of(scope))
+    records = [identity_record(member_of(machine)), founding_record(voters)]
     records += [decision_record(decision) for decision in prefix_decisions(scope)]
     return records
 
@@ -121,7 +125,8 @@
     """The decisions of the scope's log prefix: one command with all its operations."""
     if not scope.log_prefix:
         return []
-    body = json.dumps(list(scope.log_prefix), separators=(",", ":"))
+    stored = [encode_operation(operation) for operation in scope.log_prefix]
+    body = json.dumps(stored, separators=(",", ":"))
     command = Command("prefix", 1, 1, 0, body)
     return [Decision(0, command.key, command)]
 
@@ -134,8 +139,7 @@
     thresholds: type[Thresholds],
 ) -> StoreNode:
     """A store process that starts from these records."""
-    held = records[0]
-    me = Member(held["identity"], machine.name, machine.zone, machine.name)
+    me = MEMBER.decode(records[0])
     seeds = tuple(each.name for each in voters_of(scope))
     node = StoreNode(
         me,
--- a/src/willowpost/model/protections.py
+++ b/src/willowpost/model/protections.py
@@ -100,9 +100,9 @@
     self.start = self.last = 0
 
 
-def _holds_former_quorum(node_state: Any) -> bool:
-    former = barrier.former_identities(node_state.tables)
-    index = barrier.quorum_index(former, node_state.synced_indexes, node_state.thresholds)
+def _holds_previous_quorum(node_state: Any) -> bool:
+    previous = barrier.previous_identities(node_state.tables)
+    index = barrier.quorum_index(previous, node_state.synced_indexes, node_state.thresholds)
     return index >= barrier.first_slot(node_state.tables)
 
 
@@ -149,7 +149,7 @@
         Protection(
             "barrier-over-new-voters",
             "replaced-late",
-            replacements=(Replacement(barrier, "holds_both_quorums", _holds_former_quorum),),
+            replacements=(Replacement(barrier, "holds_both_quorums", _holds_previous_quorum),),
         ),
         Protection(
             "barrier-over-former-voters",
--- a/src/willowpost/model/replay.py
+++ b/src/willowpost/model/replay.py
@@ -61,12 +61,12 @@
 
 def save(path: Path, scope: str, found: Counterexample) -> None:
     """Writes the trace as JSON: the scope's name, the rule, and the actions."""
-    held = {
+    trace = {
         "scope": scope,
         "rule": found.rule,
         "actions": [to_json(each) for each in found.actions],
     }
-    path.write_text(json.dumps(held, indent=1) + "\n")
+    path.write_text(json.dumps(trace, indent=1) + "\n")
 
 
 def load(path: Path) -> tuple[str, tuple[Action, ...]]:
@@ -77,8 +77,8 @@
         ValueError: it is not a trace.
     """
     try:
-        held = json.loads(path.read_text())
-        return str(held["scope"]), tuple(from_json(each) for each in held["actions"])
+        trace = json.loads(path.read_text())
+        return str(trace["scope"]), tuple(from_json(each) for each in trace["actions"])
     except (KeyError, TypeError) as problem:
         raise ValueError(f"not a trace: {problem}") from problem
 
--- a/src/willowpost/model/scope.py
+++ b/src/willowpost/model/scope.py
@@ -6,6 +6,7 @@
 
 from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.model.logical_time import NEVER
+from willowpost.state.operations import Operation
 
 READS_OFF = NEVER
 
@@ -47,7 +48,7 @@
 
     source: str
     target: str
-    kind: str  # the name of the message's class
+    kind: type
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,9 +82,9 @@
 
     name: str
     machines: tuple[Machine, ...]
-    commands: tuple[dict[str, object], ...] = ()
+    commands: tuple[Operation, ...] = ()
     first_store: tuple[int, ...] = (0, 1, 2)
-    log_prefix: tuple[dict[str, object], ...] = ()
+    log_prefix: tuple[Operation, ...] = ()
     reader: bool = False
     ticks: dict[str, int] = field(default_factory=_no_ticks)
     budget: Budget = Budget()
--- a/src/willowpost/model/scopes.py
+++ b/src/willowpost/model/scopes.py
@@ -5,8 +5,8 @@
 from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.model.logical_time import NEVER
 from willowpost.model.operations import (
-    EMPTY_A_ZONE,
-    EMPTY_B_ZONE,
+    EVACUATE_ZONE_A,
+    EVACUATE_ZONE_B,
     configuration,
     joined,
     offer,
@@ -14,6 +14,14 @@
     suspected,
 )
 from willowpost.model.scope import Budget, Machine, Passes, Role, Scope, Ticks
+from willowpost.wire.messages import (
+    BallotState,
+    CatchupRequest,
+    CatchupResponse,
+    QuorumReadRequest,
+    SubmitCommand,
+    SyncedIndex,
+)
 
 THREE = (Machine("s0", "a"), Machine("s1", "b"), Machine("s2", "c"))
 FIVE = (*THREE, Machine("s3", "a"), Machine("s4", "b"))
@@ -21,19 +29,21 @@
 READING = ReplicaTuning(synced_index=NEVER, rotate=NEVER)
 
 
-# s2 is held lost, and is not: it runs on, and votes until it is replaced.
-_HELD_LOST = (
+# s2 counts as lost, and is not: it runs on, and votes until it is replaced.
+_SUSPECTED_VOTER = (
     *(joined(machine) for machine in WITH_LEARNER),
     suspected(WITH_LEARNER[2], WITH_LEARNER[0]),
     suspected(WITH_LEARNER[2], WITH_LEARNER[1]),
 )
 
-ONE_COMMAND = Scope("one-command", THREE, (EMPTY_A_ZONE,), budget=Budget(torn=1))
-TWO_COMMANDS = Scope("two-commands", THREE, (EMPTY_A_ZONE, EMPTY_B_ZONE), budget=Budget(torn=1))
+ONE_COMMAND = Scope("one-command", THREE, (EVACUATE_ZONE_A,), budget=Budget(torn=1))
+TWO_COMMANDS = Scope(
+    "two-commands", THREE, (EVACUATE_ZONE_A, EVACUATE_ZONE_B), budget=Budget(torn=1)
+)
 RESTARTED = Scope(
     "restarted",
     THREE,
-    (EMPTY_A_ZONE, EMPTY_B_ZONE),
+    (EVACUATE_ZONE_A, EVACUATE_ZONE_B),
     budget=Budget(crashes=1),
     may_crash=("s0",),
 )
@@ -41,13 +51,13 @@
 SPLIT_PROPOSALS = Scope(
     "split-proposals",
     THREE,
-    (EMPTY_A_ZONE, EMPTY_B_ZONE),
+    (EVACUATE_ZONE_A, EVACUATE_ZONE_B),
     first_store=(0, 2),
     opening=(
-        Passes("client0", "s0", "Submit"),
-        Passes("client1", "s2", "Submit"),
-        Passes("s0", "s1", "BallotState"),
-        Passes("s0", "s2", "BallotState"),
+        Passes("client0", "s0", SubmitCommand),
+        Passes("client1", "s2", SubmitCommand),
+        Passes("s0", "s1", BallotState),
+        Passes("s0", "s2", BallotState),
     ),
 )
 # One content is accepted under the number; the other is on its way.
@@ -56,18 +66,18 @@
     THREE,
     (configuration(2, "one.example"), configuration(2, "two.example")),
     opening=(
-        Passes("client0", "s0", "Submit"),
-        Passes("s0", "s1", "BallotState"),
-        Passes("s1", "s0", "BallotState"),
-        Passes("s0", "s1", "BallotState"),
-        Passes("s1", "s0", "BallotState"),
-        Passes("s1", "s0", "SyncedIndex"),
+        Passes("client0", "s0", SubmitCommand),
+        Passes("s0", "s1", BallotState),
+        Passes("s1", "s0", BallotState),
+        Passes("s0", "s1", BallotState),
+        Passes("s1", "s0", BallotState),
+        Passes("s1", "s0", SyncedIndex),
     ),
 )
 WIPED = Scope(
     "wiped",
     THREE,
-    (EMPTY_A_ZONE,),
+    (EVACUATE_ZONE_A,),
     ticks={"s2": 2},
     budget=Budget(wipes=1),
     may_lose_disk=("s2",),
@@ -75,68 +85,68 @@
 READS = Scope(
     "reads",
     THREE,
-    (EMPTY_A_ZONE,),
+    (EVACUATE_ZONE_A,),
     ticks={"s2": 2},
     budget=Budget(crashes=1),
     pace=READING,
     may_crash=("s2",),
 )
 READER_ASKS = Scope(
-    "reader", THREE, (EMPTY_A_ZONE,), reader=True, ticks={"reader": 2}, budget=Budget(cuts=1)
+    "reader", THREE, (EVACUATE_ZONE_A,), reader=True, ticks={"reader": 2}, budget=Budget(cuts=1)
 )
 REPLACED = Scope(
     "replaced",
     WITH_LEARNER,
     (replacement(WITH_LEARNER[2], WITH_LEARNER[3]),),
-    log_prefix=_HELD_LOST,
+    log_prefix=_SUSPECTED_VOTER,
     budget=Budget(removals=1),
 )
 # s0 and s2 accepted a command that s1 has not heard of, and s2 decided its own replacement.
 REPLACED_LATE = Scope(
     "replaced-late",
     WITH_LEARNER,
-    (EMPTY_A_ZONE, replacement(WITH_LEARNER[2], WITH_LEARNER[3])),
+    (EVACUATE_ZONE_A, replacement(WITH_LEARNER[2], WITH_LEARNER[3])),
     first_store=(0, 0),
-    log_prefix=_HELD_LOST,
+    log_prefix=_SUSPECTED_VOTER,
     ticks={"s3": 1},
     budget=Budget(removals=1),
     opening=(
-        Passes("client0", "s0", "Submit"),
-        Passes("s0", "s2", "BallotState"),
-        Passes("s2", "s0", "BallotState"),
-        Passes("s0", "s2", "BallotState"),
-        Passes("s2", "s0", "BallotState"),
-        Passes("s2", "s0", "SyncedIndex"),
-        Passes("client1", "s0", "Submit"),
-        Passes("s0", "s2", "BallotState"),
-        Passes("s2", "s0", "BallotState"),
-        Passes("s0", "s2", "BallotState"),
+        Passes("client0", "s0", SubmitCommand),
+        Passes("s0", "s2", BallotState),
+        Passes("s2", "s0", BallotState),
+        Passes("s0", "s2", BallotState),
+        Passes("s2", "s0", BallotState),
+        Passes("s2", "s0", SyncedIndex),
+        Passes("client1", "s0", SubmitCommand),
+        Passes("s0", "s2", BallotState),
+        Passes("s2", "s0", BallotState),
+        Passes("s0", "s2", BallotState),
     ),
 )
 # The replacement is decided by s1 alone, with the votes of s0; s3 heard of it from s1.
 _DECIDED_BY_ONE = (
-    Passes("client0", "s0", "Submit"),
-    Passes("s0", "s1", "BallotState"),
-    Passes("s1", "s0", "BallotState"),
-    Passes("s0", "s1", "BallotState"),
-    Passes("s1", "s3", "SyncedIndex"),
+    Passes("client0", "s0", SubmitCommand),
+    Passes("s0", "s1", BallotState),
+    Passes("s1", "s0", BallotState),
+    Passes("s0", "s1", BallotState),
+    Passes("s1", "s3", SyncedIndex),
     Ticks("s3"),
     Ticks("s3"),
-    Passes("s3", "s1", "Ask"),
-    Passes("s1", "s3", "Tell"),
+    Passes("s3", "s1", CatchupRequest),
+    Passes("s1", "s3", CatchupResponse),
 )
 # Then s0 decides it too, and s1 and s3 accept the other command in the new epoch.
 _ACCEPTED_BEHIND_IT = (
     *_DECIDED_BY_ONE,
-    Passes("s1", "s0", "BallotState"),
-    Passes("s0", "s1", "SyncedIndex"),
-    Passes("s0", "s3", "SyncedIndex"),
-    Passes("client1", "s1", "Submit"),
-    Passes("s1", "s3", "BallotState"),
-    Passes("s3", "s1", "BallotState"),
-    Passes("s1", "s3", "BallotState"),
-    Passes("s3", "s1", "BallotState"),
-    Passes("s3", "s1", "SyncedIndex"),
+    Passes("s1", "s0", BallotState),
+    Passes("s0", "s1", SyncedIndex),
+    Passes("s0", "s3", SyncedIndex),
+    Passes("client1", "s1", SubmitCommand),
+    Passes("s1", "s3", BallotState),
+    Passes("s3", "s1", BallotState),
+    Passes("s1", "s3", BallotState),
+    Passes("s3", "s1", BallotState),
+    Passes("s3", "s1", SyncedIndex),
 )
 
 
@@ -149,9 +159,9 @@
 UNHEARD = Scope(
     "unheard",
     WITH_LEARNER,
-    (replacement(WITH_LEARNER[2], WITH_LEARNER[3]), EMPTY_A_ZONE),
+    (replacement(WITH_LEARNER[2], WITH_LEARNER[3]), EVACUATE_ZONE_A),
     first_store=(0, 1),
-    log_prefix=_HELD_LOST,
+    log_prefix=_SUSPECTED_VOTER,
     reader=True,
     ticks={"reader": 1},
     opening=_DECIDED_BY_ONE,
@@ -174,11 +184,11 @@
 FORMER_LIFE = Scope(
     "former-life",
     THREE,
-    (EMPTY_A_ZONE,),
+    (EVACUATE_ZONE_A,),
     ticks={"s2": 1},
     budget=Budget(crashes=1),
     pace=READING,
-    opening=(Ticks("s2"), Passes("s2", "s0", "ReadAsk")),
+    opening=(Ticks("s2"), Passes("s2", "s0", QuorumReadRequest)),
     cuts=_cut(("s1", "client0"), ("s2",)) | frozenset({("s2", "s0")}),
     may_crash=("s2",),
 )
@@ -188,7 +198,7 @@
 FIVE_VOTERS = Scope(
     "five-voters",
     FIVE,
-    (EMPTY_A_ZONE, EMPTY_B_ZONE),
+    (EVACUATE_ZONE_A, EVACUATE_ZONE_B),
     reader=True,
     ticks=EACH_TICKS,
     budget=FAULTS._replace(wipes=2),
@@ -199,7 +209,7 @@
 GROWTH = Scope(
     "growth",
     (*THREE, *_TWO_LEARNERS),
-    (EMPTY_A_ZONE, offer(_TWO_LEARNERS[0]), offer(_TWO_LEARNERS[1])),
+    (EVACUATE_ZONE_A, offer(_TWO_LEARNERS[0]), offer(_TWO_LEARNERS[1])),
     first_store=(0, 0, 1),
     log_prefix=tuple(joined(machine) for machine in (*THREE, *_TWO_LEARNERS)),
     reader=True,
@@ -211,9 +221,9 @@
 REPLACEMENT = Scope(
     "replacement",
     WITH_LEARNER,
-    (EMPTY_A_ZONE, replacement(WITH_LEARNER[2], WITH_LEARNER[3]), EMPTY_B_ZONE),
+    (EVACUATE_ZONE_A, replacement(WITH_LEARNER[2], WITH_LEARNER[3]), EVACUATE_ZONE_B),
     first_store=(0, 1, 1),
-    log_prefix=_HELD_LOST,
+    log_prefix=_SUSPECTED_VOTER,
     reader=True,
     ticks=EACH_TICKS,
     budget=FAULTS._replace(removals=1),
--- a/src/willowpost/model/state_changes.py
+++ b/src/willowpost/model/state_changes.py
@@ -19,9 +19,9 @@
     return state._replace(budget=state.budget._replace(**{kind: left - 1}))
 
 
-def with_item(held: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
+def with_item(items: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
     """The tuple with another value at this index."""
-    return (*held[:index], value, *held[index + 1 :])
+    return (*items[:index], value, *items[index + 1 :])
 
 
 def with_messages(network: tuple[int, ...], messages: tuple[int, ...]) -> tuple[int, ...]:
@@ -31,4 +31,4 @@
 
 def without_message(network: tuple[int, ...], number: int) -> tuple[int, ...]:
     """The network with this message no longer in flight."""
-    return tuple(held for held in network if held != number)
+    return tuple(other for other in network if other != number)
--- a/src/willowpost/model/steps.py
+++ b/src/willowpost/model/steps.py
@@ -122,10 +122,10 @@
 
 
 def _name_of(process: Any) -> str:
-    card = getattr(process, "card", None) or getattr(
-        getattr(process, "node_state", None), "card", None
+    descriptor = getattr(process, "descriptor", None) or getattr(
+        getattr(process, "node_state", None), "descriptor", None
     )
-    return str(card.name if card is not None else process.daemon)
+    return str(descriptor.name if descriptor is not None else process.daemon)
 
 
 def _without_freshness(message: Any) -> Any:
--- a/src/willowpost/model/system.py
+++ b/src/willowpost/model/system.py
@@ -76,7 +76,7 @@
             return self.successor(more, Tick(step.process))
         for number in sorted(state.network, reverse=True):
             source, target, body = self.parts.messages[number]
-            if (source, target, type(body).__name__) == (step.source, step.target, step.kind):
+            if (source, target, type(body)) == (step.source, step.target, step.kind):
                 return self.successor(
                     state, Deliver(source, target, self.parts.message_text(number))
                 )
@@ -90,10 +90,10 @@
             Violation: an invariant does not hold in or on the way to the next state.
         """
         reached = self._reached(state, action)
-        held = (reached.disks, reached.history)
-        if held not in self._durable:
+        durable_parts = (reached.disks, reached.history)
+        if durable_parts not in self._durable:
             check_durability(self.parts.disk_facts(reached), self.parts.histories[reached.history])
-            self._durable.add(held)
+            self._durable.add(durable_parts)
         return reached
 
     def _reached(self, state: SystemState, action: Action) -> SystemState:
--- a/src/willowpost/node/command_client.py
+++ b/src/willowpost/node/command_client.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass, field
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SubmitOperations, Received, Tick, WithdrawSubmission
+from willowpost.common.events import Received, SubmitOperations, Tick, WithdrawSubmission
 from willowpost.common.plan import Plan
 from willowpost.state.codec import decode_results, encode_operation
 from willowpost.state.results import Result
-from willowpost.wire.messages import CommandAccepted, Command, SubmitCommand
+from willowpost.wire.messages import Command, CommandAccepted, SubmitCommand
 
 BATCH_WAIT = 5 * MILLI
 BATCH_MOST = 20
@@ -111,9 +111,9 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event.
 
-        `SubmitOperations` adds operations to the batch, `WithdrawSubmission` ends a caller's wait, `CommandAccepted` answers
-        the callers of a command, and a tick resubmits what has waited for RETRY_AFTER. A batch is
-        submitted when it holds BATCH_MOST operations or is BATCH_WAIT old.
+        `SubmitOperations` adds operations to the batch, `WithdrawSubmission` ends a caller's wait,
+        `CommandAccepted` answers the callers of a command, and a tick resubmits what has waited for
+        RETRY_AFTER. A batch is submitted when it holds BATCH_MOST operations or is BATCH_WAIT old.
 
         Returns:
             The submissions; replies are `SubmissionOutcome`.
--- a/src/willowpost/node/failure_detector.py
+++ b/src/willowpost/node/failure_detector.py
@@ -4,7 +4,7 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SubmitOperations, Received, Tick
+from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
@@ -83,7 +83,8 @@
             self.watched = tuple(
                 name
                 for name in tables.daemons
-                if name != self.descriptor.id and self.descriptor.id in watchers_of(name, tables.daemons)
+                if name != self.descriptor.id
+                and self.descriptor.id in watchers_of(name, tables.daemons)
             )
         nonce = self.nonces.next()
         watched = {name: tables.daemons[name] for name in self.watched if name in tables.daemons}
@@ -122,6 +123,6 @@
             for op in ops:
                 plan.log(
                     "watch",
-                    "suspicions a daemon" if op.is_suspected else "hears a daemon again",
+                    "daemon suspected" if op.is_suspected else "daemon no longer suspected",
                     daemon=op.target,
                 )
--- a/src/willowpost/node/follower.py
+++ b/src/willowpost/node/follower.py
@@ -4,7 +4,7 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SettingsChanged, Received, Tick
+from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.common.formats import UnknownFormatError
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
@@ -98,7 +98,9 @@
         }
         ranked = Rendezvous().rank(f"state_update/{node_state.descriptor.zone}", zone)
         before = (
-            ranked[: ranked.index(node_state.descriptor.id)] if node_state.descriptor.id in ranked else ranked
+            ranked[: ranked.index(node_state.descriptor.id)]
+            if node_state.descriptor.id in ranked
+            else ranked
         )
         return [zone[name].address for name in before[:HOMES_TRIED]] + cores
 
@@ -125,7 +127,7 @@
 
     def poll(self, address, now, plan):
         """Poll one address, unless a snapshot transfer is making progress."""
-        if not self.node_state.incoming_snapshot.progressing(now):
+        if not self.node_state.incoming_snapshot.is_progressing(now):
             self._poll_now(address, now, plan)
 
     def _poll_now(self, address, now, plan):
@@ -171,10 +173,10 @@
         node_state, text = self.node_state, state_update.snapshot
         piece = state_update.piece
         if piece is not None and self._newer(piece.slot):
-            text = node_state.incoming_snapshot.take(piece, now)
+            text = node_state.incoming_snapshot.add(piece, now)
         if not text:
             incoming = node_state.incoming_snapshot
-            return piece is not None and bool(incoming.pieces) and incoming.progress_at == now
+            return piece is not None and bool(incoming.chunks) and incoming.progress_at == now
         try:
             tables = tables_from(text)
         except UnknownFormatError as problem:
@@ -210,7 +212,7 @@
         piece, told = None, ()
         if poll.blank or poll.slot < first:
             asker_slot = -1 if poll.blank else poll.slot
-            piece = node_state.outgoing_snapshot.piece(
+            piece = node_state.outgoing_snapshot.chunk(
                 node_state.tables, asker_slot, first, poll.snapshot, now
             )
         elif poll.slot < node_state.tables.slot:
--- a/src/willowpost/node/graceful_shutdown.py
+++ b/src/willowpost/node/graceful_shutdown.py
@@ -86,9 +86,7 @@
         if isinstance(event, ShutdownRequested) and self.stage is Stage.SERVING:
             self.node_state.draining = True
             self._move(Stage.DRAINING, now, plan)
-            self._submit(
-                DrainDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan
-            )
+            self._submit(DrainDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
         elif isinstance(event, Tick):
             self._tick(now - self.since, now, plan)
         return plan
@@ -102,12 +100,12 @@
         ):
             self.joiner.leaving = True
             self._move(Stage.LEAVING, now, plan)
-            self._submit(
-                RemoveDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan
-            )
+            self._submit(RemoveDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
         elif (
             self.stage is Stage.LEAVING
-            and (span >= self.spans.leave or self.descriptor.id not in self.node_state.tables.daemons)
+            and (
+                span >= self.spans.leave or self.descriptor.id not in self.node_state.tables.daemons
+            )
             and (now >= self.finish_by or not self.in_flight())
         ):  # a kept connection may have brought one more
             self._move(Stage.GONE, now, plan)
--- a/src/willowpost/node/join.py
+++ b/src/willowpost/node/join.py
@@ -33,7 +33,9 @@
         tables = self.tables()
         held = tables.daemons.get(self.descriptor.id)
         forgotten = (
-            held is not None and held.state is DaemonState.LOST and self.descriptor.id not in tables.suspicions
+            held is not None
+            and held.state is DaemonState.LOST
+            and self.descriptor.id not in tables.suspicions
         )
         if not tables.epoch or (
             held is not None and held.incarnation == self.descriptor.incarnation and not forgotten
--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -38,7 +38,9 @@
         """
         plan = Plan()
         match event:
-            case Received(source, QuorumReadResponse(nonce, identity, slot)) if identity in self._voters():
+            case Received(source, QuorumReadResponse(nonce, identity, slot)) if (
+                identity in self._voters()
+            ):
                 self._note_heard(identity, now)
                 if nonce in self.reads.open:
                     self.reads.hear(nonce, identity, slot)
--- a/src/willowpost/proxy/admission/admission_tokens.py
+++ b/src/willowpost/proxy/admission/admission_tokens.py
@@ -10,7 +10,7 @@
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.proxy.admission.buckets import Bucket, ramped, ramps_in_tokens
-from willowpost.proxy.admission.quota_shares import QuotaShareOwner, in_whole_tokens
+from willowpost.proxy.admission.quota_shares import QuotaShareOwner, in_whole_tokens, role_of
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import ServiceCard
 from willowpost.wire.messages import AdmissionTokenRequest, AdmissionTokenResponse
@@ -35,8 +35,8 @@
 
     def __init__(self, node_state: ProxyState):
         self.node_state = node_state
-        card = node_state.descriptor
-        self.nonces = NonceSequence(card.id, card.incarnation, "admission_token")
+        descriptor = node_state.descriptor
+        self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "admission_token")
         self.open: dict[int, tuple[object, int]] = {}  # nonce -> (ticket, asked at)
 
     def step(self, event: object, now: int) -> Plan:
@@ -55,16 +55,17 @@
         return plan
 
     def _ask(self, wanted: AdmissionTokenWanted, now: int, plan: Plan) -> None:
-        held = self.node_state.tables.fences.get(f"quota_share/{wanted.service}")
-        owner = self.node_state.tables.daemons.get(held["owner"]) if held else None
-        if held is None or owner is None:
+        tables = self.node_state.tables
+        ownership = tables.ownerships.get(role_of(wanted.service))
+        owner = tables.daemons.get(ownership.owner) if ownership else None
+        if ownership is None or owner is None:
             plan.replies.append((wanted.ticket, False))
             return
         nonce = self.nonces.next()
         self.open[nonce] = (wanted.ticket, now)
         plan.send(
-            owner["address"],
-            AdmissionTokenRequest(nonce, wanted.service, held["fence"], wanted.origin),
+            owner.address,
+            AdmissionTokenRequest(nonce, wanted.service, ownership.fencing_token, wanted.origin),
         )
 
 
--- a/src/willowpost/proxy/admission/buckets.py
+++ b/src/willowpost/proxy/admission/buckets.py
@@ -6,7 +6,12 @@
 
 from willowpost.common.clock import SECOND
 from willowpost.common.rendezvous import Rendezvous
-from willowpost.proxy.admission.quota_shares import WINDOW, base_quota_of, in_whole_tokens
+from willowpost.proxy.admission.quota_shares import (
+    WINDOW,
+    base_quota_of,
+    fencing_token_of,
+    in_whole_tokens,
+)
 from willowpost.proxy.admission.verdict import Let
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import OriginCard, ServiceCard
@@ -132,7 +137,7 @@
         if in_whole_tokens(service):
             return Let.ASK
         grant = node_state.grants.get(name)
-        fence = node_state.tables.fences.get(f"quota_share/{name}", {}).get("fence")
+        fence = fencing_token_of(node_state, name)
         granted = (
             grant.rate if grant is not None and now < grant.until and grant.fence == fence else 0.0
         )
--- a/src/willowpost/proxy/admission/quota_shares.py
+++ b/src/willowpost/proxy/admission/quota_shares.py
@@ -6,7 +6,7 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SubmitOperations, Received, Tick
+from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
@@ -14,6 +14,8 @@
 from willowpost.node.node_state import LEASE
 from willowpost.proxy.proxy_state import Grant, ProxyState
 from willowpost.proxy.routing.snapshot import ServiceCard
+from willowpost.state.entries import Ownership
+from willowpost.state.operations import AcquireOwnership
 from willowpost.wire.messages import QuotaShareRequest, QuotaShareResponse
 
 GRANT_SPAN = 1 * SECOND
@@ -26,6 +28,17 @@
 WHOLE_BELOW = 0.75
 
 
+def role_of(service: str) -> str:
+    """Return the key of the singleton role that grants a service's quota."""
+    return f"quota_share/{service}"
+
+
+def fencing_token_of(node_state: ProxyState, service: str) -> int | None:
+    """Return the fencing token of the owner of a service's quota; None: it has no owner yet."""
+    ownership = node_state.tables.ownerships.get(role_of(service))
+    return None if ownership is None else ownership.fencing_token
+
+
 def in_whole_tokens(service: ServiceCard) -> bool:
     """Whether the rate is too small for each sender to use a part of it.
 
@@ -51,8 +64,8 @@
 
     def __init__(self, node_state: ProxyState):
         self.node_state = node_state
-        card = node_state.descriptor
-        self.nonces = NonceSequence(card.id, card.incarnation, "quota_share")
+        descriptor = node_state.descriptor
+        self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "quota_share")
         self.asked: dict[int, tuple[str, int]] = {}  # nonce -> (service, asked at)
         self.looked_at = 0
         self.smooth: dict[str, float] = {}
@@ -61,11 +74,11 @@
         """Asks the owners for grants by demand and takes those that come; `now` is in µs."""
         plan = Plan()
         match event:
-            case Received(_, QuotaShareResponse(nonce, service, fence, rate)) if nonce in self.asked:
+            case Received(_, QuotaShareResponse(nonce, service, fence, rate)) if (
+                nonce in self.asked
+            ):
                 asked_for, sent_at = self.asked.pop(nonce)
-                if service == asked_for and fence == self.node_state.tables.fences.get(
-                    f"quota_share/{service}", {}
-                ).get("fence"):
+                if service == asked_for and fence == fencing_token_of(self.node_state, service):
                     self.node_state.grants = {
                         **self.node_state.grants,
                         service: Grant(rate / 1000, sent_at + GRANT_SPAN, fence),
@@ -85,14 +98,16 @@
             if node_state.descriptor.id not in service.senders or in_whole_tokens(service):
                 continue
             self.smooth[name] = 0.6 * self.smooth.get(name, 0.0) + 0.4 * demand.get(name, 0) / span
-            held = node_state.tables.fences.get(f"quota_share/{name}")
-            owner = node_state.tables.daemons.get(held["owner"]) if held else None
-            if held is not None and owner is not None:
+            ownership = node_state.tables.ownerships.get(role_of(name))
+            owner = node_state.tables.daemons.get(ownership.owner) if ownership else None
+            if ownership is not None and owner is not None:
                 nonce = self.nonces.next()
                 self.asked[nonce] = (name, now)
                 plan.send(
-                    owner["address"],
-                    QuotaShareRequest(nonce, name, held["fence"], int(self.smooth[name] * 1000)),
+                    owner.address,
+                    QuotaShareRequest(
+                        nonce, name, ownership.fencing_token, int(self.smooth[name] * 1000)
+                    ),
                 )
 
 
@@ -129,28 +144,28 @@
     def _claim(self, now: int, plan: Plan) -> None:
         node_state = self.node_state
         live = node_state.live("proxy")
-        ops = []
+        claims = []
         for name in node_state.snapshot.services:
-            key = f"quota_share/{name}"
-            held = node_state.tables.fences.get(key, {"owner": "", "fence": 0})
-            if held["owner"] == node_state.descriptor.id:
-                if self.since.get(key, (0, 0))[0] != held["fence"]:
-                    self.since[key] = (held["fence"], now)
+            key = role_of(name)
+            ownership = node_state.tables.ownerships.get(key, Ownership())
+            if ownership.owner == node_state.descriptor.id:
+                if self.since.get(key, (0, 0))[0] != ownership.fencing_token:
+                    self.since[key] = (ownership.fencing_token, now)
                     self.granted[name], self.wanted[name] = {}, {}
             elif (
-                held["owner"] not in live
+                ownership.owner not in live
                 and node_state.descriptor.id in live
                 and not node_state.draining
                 and Rendezvous().rank(key, live)[0] == node_state.descriptor.id
                 and now - self.claimed_at.get(key, -CLAIM_EVERY) >= CLAIM_EVERY
             ):
                 self.claimed_at[key] = now
-                ops.append(
-                    {"op": "own", "key": key, "owner": node_state.descriptor.id, "fence": held["fence"]}
+                claims.append(
+                    AcquireOwnership(key, node_state.descriptor.id, ownership.fencing_token)
                 )
-        if ops:
-            plan.join(self.command_client.step(SubmitOperations(None, tuple(ops)), now))
-            plan.log("quota_shares", "claims", keys=[op["key"] for op in ops])
+        if claims:
+            plan.join(self.command_client.step(SubmitOperations(None, tuple(claims)), now))
+            plan.log("quota_shares", "claims", keys=[claim.key for claim in claims])
 
     def rules_since(self, name: str, fence: int, now: int) -> int | None:
         """Since when this proxy may grant under this fence, in µs, or None if it may not now.
@@ -158,13 +173,13 @@
         It must own the service in the tables, hold a lease, and have waited until no former grant
         holds.
         """
-        node_state, key = self.node_state, f"quota_share/{name}"
-        held = node_state.tables.fences.get(key, {"owner": "", "fence": 0})
+        node_state, key = self.node_state, role_of(name)
+        ownership = node_state.tables.ownerships.get(key, Ownership())
         own, since = self.since.get(key, (0, 0))
         if (
             name not in node_state.snapshot.services
-            or held["owner"] != node_state.descriptor.id
-            or own != held["fence"]
+            or ownership.owner != node_state.descriptor.id
+            or own != ownership.fencing_token
             or fence != own
             or not node_state.ruling(now)
         ):
--- a/src/willowpost/proxy/cache/store.py
+++ b/src/willowpost/proxy/cache/store.py
@@ -4,6 +4,7 @@
 from dataclasses import dataclass, replace
 from itertools import takewhile
 
+from willowpost.state.entries import Purge, PurgeKind
 from willowpost.state.tables import Tables
 
 BYTES_MOST = 128 * 1024 * 1024
@@ -55,17 +56,17 @@
         return self.age(now) < self.lifetime
 
 
-def hits(purge: dict, host: str, target: str, tags: tuple = ()) -> bool:
-    """Whether a purge (a row of the tables) removes what is stored for that host and target."""
-    if purge["kind"] == "tag":
-        return purge["path"] in tags
-    if purge["host"] not in ("*", "", host):
+def hits(purge: Purge, host: str, target: str, tags: tuple = ()) -> bool:
+    """Whether a purge removes what is stored for that host and target."""
+    if purge.kind == PurgeKind.TAG:
+        return purge.path in tags
+    if purge.host not in ("*", "", host):
         return False
-    if purge["kind"] == "all":
+    if purge.kind == PurgeKind.ALL:
         return True
-    if purge["kind"] == "prefix":
-        return target.startswith(purge["path"])
-    return purge["path"] in (target, target.partition("?")[0])
+    if purge.kind == PurgeKind.PREFIX:
+        return target.startswith(purge.path)
+    return purge.path in (target, target.partition("?")[0])
 
 
 class CacheStore:
@@ -164,7 +165,7 @@
         """
         if slot < self.floor:
             return True
-        later = takewhile(lambda purge: purge["slot"] >= slot, reversed(self.purges))
+        later = takewhile(lambda purge: purge.slot >= slot, reversed(self.purges))
         return any(hits(purge, host, target, tags) for purge in later)
 
     def purge(self, tables: Tables) -> None:
@@ -179,11 +180,11 @@
             self.tagged.clear()
             self.size = 0
             return
-        fresh = list(takewhile(lambda purge: purge["slot"] >= before, reversed(tables.purges)))
+        fresh = list(takewhile(lambda purge: purge.slot >= before, reversed(tables.purges)))
         if fresh and self.held:
-            items = {(purge["host"], purge["path"]) for purge in fresh if purge["kind"] == "item"}
-            tags = {purge["path"] for purge in fresh if purge["kind"] == "tag"}
-            wide = [purge for purge in fresh if purge["kind"] not in ("item", "tag")]
+            items = {(purge.host, purge.path) for purge in fresh if purge.kind == PurgeKind.ITEM}
+            tags = {purge.path for purge in fresh if purge.kind == PurgeKind.TAG}
+            wide = [purge for purge in fresh if purge.kind not in (PurgeKind.ITEM, PurgeKind.TAG)]
             struck = {
                 key
                 for tag in tags
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -5,7 +5,6 @@
 import gevent
 
 from willowpost.common.clock import MILLI, Clock
-from willowpost.node.node_state import DaemonDescriptor
 from willowpost.proxy.admission.buckets import Allowance, Ramp
 from willowpost.proxy.admission.budget import BudgetSettings, RetryBudget
 from willowpost.proxy.caller.pacing import LinkPacer
@@ -24,6 +23,7 @@
 from willowpost.shell.metrics import MetricsPage
 from willowpost.shell.runner import Runner
 from willowpost.shell.web import WebServer, status_line
+from willowpost.state.entries import DaemonDescriptor
 
 TIDY_SECONDS = 0.05
 TELLS = 40
@@ -78,7 +78,7 @@
         self.node_state = self.node.node_state
         self.node_state.serve_on = place.serve_on_ms * MILLI
         stats = Counter()
-        self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.say)
+        self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.log)
         self.pool = ConnectionPool(self.clock)
         budget = RetryBudget(
             self.node_state.proxies,
--- a/src/willowpost/proxy/node.py
+++ b/src/willowpost/proxy/node.py
@@ -5,18 +5,18 @@
 
 from willowpost.common.plan import Plan
 from willowpost.node.command_client import CommandClient
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.node.follower import Follower
-from willowpost.node.join import FleetJoin
 from willowpost.node.graceful_shutdown import GracefulShutdown
-from willowpost.node.node_state import DaemonDescriptor
+from willowpost.node.join import FleetJoin
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.failure_detector import FailureDetector
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenOwner, AdmissionTokenTaker
 from willowpost.proxy.admission.quota_shares import QuotaShareOwner, QuotaShareTaker
 from willowpost.proxy.cache.store import BYTES_MOST, CacheStore
 from willowpost.proxy.origin.reports import Reports
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.keeper import SnapshotKeeper
+from willowpost.state.entries import DaemonDescriptor
 
 
 class ProxyNode:
@@ -32,7 +32,9 @@
         regions: Zone to region; empty if regions do not matter.
     """
 
-    def __init__(self, card: DaemonDescriptor, seeds, wall, cache_bytes: int = BYTES_MOST, regions=None):
+    def __init__(
+        self, card: DaemonDescriptor, seeds, wall, cache_bytes: int = BYTES_MOST, regions=None
+    ):
         self.node_state = ProxyState(card)
         self.cache = CacheStore(cache_bytes)
         self.command_client = CommandClient(card.id, card.incarnation, self.node_state.cores, wall)
--- a/src/willowpost/proxy/proxy_state.py
+++ b/src/willowpost/proxy/proxy_state.py
@@ -74,7 +74,7 @@
 
     def proxies(self) -> int:
         """The number of registered proxies, lost ones included, since they may return."""
-        return sum(card["kind"] == "proxy" for card in self.tables.daemons.values())
+        return sum(daemon.kind == "proxy" for daemon in self.tables.daemons.values())
 
     def denies(self, now: int) -> bool:
         """Whether the tables may deny a request: a configuration is there, and it is current.
@@ -83,7 +83,7 @@
         confirmed within `OUT_OF_TOUCH_AFTER` can tell that something does not exist or is too
         large. `leased` may be much longer than that.
         """
-        known = self.snapshot.version > 0 or self.tables.configuration["tree"] is not None
+        known = self.snapshot.version > 0 or self.tables.configuration.tree is not None
         return known and self.in_touch(now)
 
     def emptied(self, now: int) -> bool:
--- a/src/willowpost/proxy/routing/keeper.py
+++ b/src/willowpost/proxy/routing/keeper.py
@@ -3,6 +3,8 @@
 from willowpost.common.plan import Plan
 from willowpost.proxy.proxy_state import WARMED_UP_AFTER, ProxyState
 from willowpost.proxy.routing.snapshot import SnapshotMaker
+from willowpost.state.entries import EvacuationScope
+from willowpost.state.lifecycle import DaemonState
 
 
 class SnapshotKeeper:
@@ -28,8 +30,10 @@
             plan.log(
                 "configuration", "in force", version=node_state.snapshot.version, slot=tables.slot
             )
-        card = tables.zones.get(node_state.descriptor.zone, {})
-        emptied = card.get("empty", False) and card.get("what") != "origins"
+        order = tables.zone_evacuations.get(node_state.descriptor.zone)
+        emptied = (
+            order is not None and order.is_evacuated and order.scope != EvacuationScope.ORIGINS
+        )
         node_state.emptied_at = (
             None
             if not emptied
@@ -38,9 +42,11 @@
             else now
         )
         own = tables.daemons.get(node_state.descriptor.id)
-        up = own is not None and own["state"] != "lost"
+        up = own is not None and own.state is not DaemonState.LOST
         node_state.held_seat = up and (first or node_state.held_seat)
-        counted = up and (node_state.held_seat or own["incarnation"] == node_state.descriptor.incarnation)
+        counted = up and (
+            node_state.held_seat or own.incarnation == node_state.descriptor.incarnation
+        )
         since = now - WARMED_UP_AFTER if node_state.held_seat else now
         node_state.joined_at = (
             None
--- a/src/willowpost/proxy/routing/planner.py
+++ b/src/willowpost/proxy/routing/planner.py
@@ -91,7 +91,11 @@
         return RejectPlan(503, "the routes known here may be old", DENIED_AGAIN_AFTER)
 
     def _shields(self, request, route, now):
-        if request.hop or self.node_state.descriptor.role != "edge" or not goes_through_shields(route):
+        if (
+            request.hop
+            or self.node_state.descriptor.role != "edge"
+            or not goes_through_shields(route)
+        ):
             return ()
         return self.shields.choose(
             f"{request.host}{request.target}",
--- a/src/willowpost/proxy/routing/snapshot.py
+++ b/src/willowpost/proxy/routing/snapshot.py
@@ -14,11 +14,10 @@
     goes_through_shields,
     only_through_shields,
 )
-from willowpost.state.lifecycle import STATES_IN_FORCE
+from willowpost.state.entries import EvacuationScope, ZoneEvacuation
+from willowpost.state.lifecycle import DaemonState, OriginState
 from willowpost.state.tables import Tables
 
-FORCE = {state.value for state in STATES_IN_FORCE}
-ORIGINS_ONLY = MappingProxyType({"what": "origins"})  # of a zone whose daemons serve on
 NO_ALLOWANCE = 1e7  # requests a second: more than any fleet of ours sends
 
 
@@ -120,6 +119,11 @@
     return MappingProxyType({name: 1 / len(counts) / counts[zones[name]] for name in senders})
 
 
+def _daemons_serve(evacuation: ZoneEvacuation | None) -> bool:
+    """Whether the daemons of a zone serve on; `evacuation` is None for one not evacuated."""
+    return evacuation is None or evacuation.scope == EvacuationScope.ORIGINS
+
+
 class SnapshotMaker:
     """Makes snapshots from the tables alone; routes are made anew only with a new configuration.
 
@@ -134,7 +138,7 @@
     def make(self, tables: Tables) -> RoutingSnapshot:
         """The snapshot of these tables."""
         if self.held[0] is not tables.configuration:
-            tree = tables.configuration["tree"]
+            tree = tables.configuration.tree
             routes = routes_of(tree) if tree else ()
             self.held = (
                 tables.configuration,
@@ -144,30 +148,32 @@
             )
         _, table, through, direct, tree = self.held
         services = tree.get("services", {})
-        emptied = {zone: card for zone, card in tables.zones.items() if card["empty"]}
+        evacuated = {
+            zone: order for zone, order in tables.zone_evacuations.items() if order.is_evacuated
+        }
         proxies = {
-            name: card
-            for name, card in tables.daemons.items()
-            if card["kind"] == "proxy" and card["state"] != "lost"
+            name: daemon
+            for name, daemon in tables.daemons.items()
+            if daemon.kind == "proxy" and daemon.state is not DaemonState.LOST
         }
         by_role = {
-            role: tuple(name for name, card in proxies.items() if card["role"] == role)
+            role: tuple(name for name, proxy in proxies.items() if proxy.role == role)
             for role in ("edge", "shield")
         }
         shields = {
-            name: card
+            name: proxies[name]
             for name in by_role["shield"]
-            if (card := proxies[name])["state"] == "up"
-            and emptied.get(card["zone"], ORIGINS_ONLY).get("what") == "origins"
+            if proxies[name].state is DaemonState.UP
+            and _daemons_serve(evacuated.get(proxies[name].zone))
         }
-        shield_zones = {name: card["zone"] for name, card in shields.items()}
+        shield_zones = {name: shield.zone for name, shield in shields.items()}
         in_force = {}
-        for name, card in tables.origins.items():
-            if card["state"] in FORCE and card["zone"] not in emptied:
-                in_force.setdefault(card["service"], []).append(
-                    self._origin(name, card, services.get(card["service"], {}))
+        for name, origin in tables.origins.items():
+            if origin.is_in_force and origin.zone not in evacuated:
+                in_force.setdefault(origin.service, []).append(
+                    self._origin(name, origin, services.get(origin.service, {}))
                 )
-        zones = {name: card["zone"] for name, card in proxies.items()}
+        zones = {name: proxy.zone for name, proxy in proxies.items()}
         by_shields = {
             (service, homes)
             for service, homes in through
@@ -189,11 +195,11 @@
         }
         return RoutingSnapshot(
             tables.slot,
-            tables.configuration["version"],
+            tables.configuration.version,
             table,
             MappingProxyType(cards),
             frozenset(origin.name for card in cards.values() for origin in card.origins),
-            MappingProxyType({name: card["http"] for name, card in shields.items()}),
+            MappingProxyType({name: shield.http for name, shield in shields.items()}),
             MappingProxyType(shield_zones),
             MappingProxyType(tree.get("limits") or {}),
         )
@@ -214,22 +220,22 @@
         }
         return through, direct
 
-    def _origin(self, name, card, service):
+    def _origin(self, name, origin, service):
         instance_check = (
-            InstanceCheck(service.get("health_check_path") or "/", card["token"])
-            if card.get("token") and not service.get("named")
+            InstanceCheck(service.get("health_check_path") or "/", origin.token)
+            if origin.token and not service.get("named")
             else None
         )
         return OriginCard(
             name,
-            card["address"],
-            card["zone"],
-            card.get("rate") or NO_ALLOWANCE,
-            service.get("cold_rate") or card.get("cold_rate") or NO_ALLOWANCE,
-            card["state"] == "cold",
+            origin.address,
+            origin.zone,
+            origin.rate or NO_ALLOWANCE,
+            service.get("cold_rate") or origin.slow_start_rate or NO_ALLOWANCE,
+            origin.state is OriginState.WARMING_UP,
             instance_check,
-            card.get("token"),
-            card.get("slots") or 0,
+            origin.token,
+            origin.slots,
         )
 
     def _service(self, service, origins, senders, parts):
--- a/src/willowpost/registry/calls/change_carrier.py
+++ b/src/willowpost/registry/calls/change_carrier.py
@@ -28,9 +28,7 @@
     def fields(self, tables: Tables) -> dict[str, Any]:
         """Return the fields to replace in the operation, by the tables held here."""
         fields: dict[str, Any] = (
-            {"known_version": tables.configuration.version}
-            if self.proposal.version is None
-            else {}
+            {"known_version": tables.configuration.version} if self.proposal.version is None else {}
         )
         return fields | self._difference(tables)
 
@@ -42,9 +40,7 @@
         if not self.differences_left:
             return {}
         self.differences_left -= 1
-        delta = ConfigurationDelta.between(
-            held.tree, held.source, proposal.tree, proposal.source
-        )
+        delta = ConfigurationDelta.between(held.tree, held.source, proposal.tree, proposal.source)
         if delta.size() > WORTHWHILE_PART * self._whole_size():
             return {}
         return {
--- a/src/willowpost/registry/calls/control_api.py
+++ b/src/willowpost/registry/calls/control_api.py
@@ -93,9 +93,9 @@
             follow: whether to wait, at most until the deadline, for the tables held here to reach
                 the slot, so that the caller may continue here at once.
             refused: makes the answer to what the log refused; by default a conflict.
-            fence: makes the attributes, of the tables held here, by which the log refuses the operation
-                if what it replaces has changed since (`SUPERSEDED`). As long as the caller waits,
-                it is then submitted again on top of the newer tables.
+            fence: makes the attributes, of the tables held here, by which the log rejects the
+                operation if what it replaces has changed since (`SUPERSEDED`). As long as the
+                caller waits, it is then submitted again on top of the newer tables.
         """
         deadline = self.deadline() if deadline is None else deadline
         deadline = max(deadline, self.now() + ACCEPT_SPAN_LEAST)
--- a/src/willowpost/registry/calls/origins.py
+++ b/src/willowpost/registry/calls/origins.py
@@ -6,9 +6,9 @@
 
 from willowpost.common.clock import MILLI
 from willowpost.configuration.model import Name
-from willowpost.registry.origin_health import HeartbeatReceived
 from willowpost.registry.calls.body import Strict, parsed
 from willowpost.registry.calls.control_api import ControlApi, as_of_slot, out_of_touch, unread
+from willowpost.registry.origin_health import HeartbeatReceived
 from willowpost.registry.origin_lookup import origin_at, same_incarnation
 from willowpost.shell.settings import Address
 from willowpost.shell.web import Answer, Call
@@ -202,19 +202,14 @@
         return self._turned(ChangeOriginState(state, name), deadline, name)
 
     def _turn_life(self, token: str, state: str, deadline: int) -> Answer:
-        if state == GONE:
-            operation = EndOrigin(token)
-        else:
-            operation = ChangeOriginState(state, token=token)
+        operation = EndOrigin(token) if state == GONE else ChangeOriginState(state, token=token)
         name = origin_with_token(self.tables, token)
         return self._turned(operation, deadline, name, follow=False)
 
     def _turned(self, operation, deadline, name, follow=True):
         return self.control_api.accepted(
             operation,
-            lambda result, slot: Answer(
-                200, {"origin": name, "state": result.state, "slot": slot}
-            ),
+            lambda result, slot: Answer(200, {"origin": name, "state": result.state, "slot": slot}),
             deadline,
             follow=follow,
             refused=lambda result: (
--- a/src/willowpost/registry/daemon.py
+++ b/src/willowpost/registry/daemon.py
@@ -3,13 +3,13 @@
 import gevent
 
 from willowpost.common.clock import Clock
-from willowpost.node.node_state import DaemonDescriptor
 from willowpost.registry.front import Front
-from willowpost.registry.origin_health import HealthCheckFinished
 from willowpost.registry.node import RegistryNode
+from willowpost.registry.origin_health import HealthCheckFinished
 from willowpost.shell.probe import probe_status
 from willowpost.shell.runner import Runner
 from willowpost.shell.web import CountingHandler, Router, WebServer
+from willowpost.state.entries import DaemonDescriptor
 
 PROBE_SECONDS = 1.0
 UNSOUND_FROM = 500  # statuses from which an origin counts as not there
--- a/src/willowpost/registry/node.py
+++ b/src/willowpost/registry/node.py
@@ -2,13 +2,14 @@
 
 from willowpost.common.plan import Plan
 from willowpost.node.command_client import CommandClient
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.node.follower import Follower
-from willowpost.node.join import FleetJoin
 from willowpost.node.graceful_shutdown import GracefulShutdown
-from willowpost.node.node_state import DaemonDescriptor, NodeState
+from willowpost.node.join import FleetJoin
+from willowpost.node.node_state import NodeState
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.failure_detector import FailureDetector
 from willowpost.registry.origin_health import OriginHealthMonitor
+from willowpost.state.entries import DaemonDescriptor
 
 
 class RegistryNode:
--- a/src/willowpost/registry/origin_health.py
+++ b/src/willowpost/registry/origin_health.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SubmitOperations, Received, Tick
+from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.state.lifecycle import OriginState
@@ -79,8 +79,8 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event.
 
-        `OriginHeartbeat` comes from another registry, `HeartbeatReceived` or `("beat", origin, load)` from an origin,
-        `("probed", origin, sound)` from a probe. On a tick, at most each LOOK_EVERY, the origins
+        `OriginHeartbeat` comes from another registry, `HeartbeatReceived` from an origin,
+        `HealthCheckFinished` from a health check. On a tick, at most each LOOK_EVERY, the origins
         that this registry owns are checked.
         """
         plan = Plan()
@@ -197,9 +197,7 @@
             and not card.reports_warm_up
             and now - since > int(service.get("ramp_seconds", 10.0) * SECOND)
         ):
-            self._turn(
-                origin, OriginState.WARM, now, plan, known_slot=self.node_state.tables.slot
-            )
+            self._turn(origin, OriginState.WARM, now, plan, known_slot=self.node_state.tables.slot)
 
     def _turn(self, origin, state, now, plan, **more):
         if now - self.asked_at.get(origin, -ASK_EVERY) >= ASK_EVERY:
@@ -209,8 +207,6 @@
     def _propose(self, origin, state, now, plan, **more):
         operation = ChangeOriginState(state, origin, **more)
         plan.join(
-            self.command_client.step(
-                SubmitOperations(None, (operation,), PROPOSAL_LIFETIME), now
-            )
+            self.command_client.step(SubmitOperations(None, (operation,), PROPOSAL_LIFETIME), now)
         )
         plan.log("origins", "proposes a turn", origin=origin, state=state)
--- a/src/willowpost/registry/status.py
+++ b/src/willowpost/registry/status.py
@@ -42,9 +42,7 @@
             ],
             "safe_to_remove": safe_to_remove(tables, node_state.ruling(now)).as_json(),
             "daemons": {
-                name: {
-                    attribute: getattr(daemon, attribute) for attribute in DAEMON_ATTRIBUTES
-                }
+                name: {attribute: getattr(daemon, attribute) for attribute in DAEMON_ATTRIBUTES}
                 for name, daemon in sorted(tables.daemons.items())
             },
             "configuration": {
--- a/src/willowpost/shell/process_settings.py
+++ b/src/willowpost/shell/process_settings.py
@@ -48,7 +48,9 @@
 
     def spans(self) -> ShutdownTimeouts:
         """The spans of a planned end, in µs."""
-        return ShutdownTimeouts(self.drain_ms * MILLI, self.finish_ms * MILLI, self.leave_ms * MILLI)
+        return ShutdownTimeouts(
+            self.drain_ms * MILLI, self.finish_ms * MILLI, self.leave_ms * MILLI
+        )
 
     def store_spans(self) -> StoreShutdownTimeouts:
         """A store's spans, in µs.
--- a/src/willowpost/shell/program.py
+++ b/src/willowpost/shell/program.py
@@ -8,10 +8,10 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.reload import SettingsReload
 from willowpost.shell.serving import serve
 from willowpost.shell.settings import DaemonSettings, SettingsReader
+from willowpost.shell.structured_log import StructuredLogger
 
 
 class DaemonCommand(Command):
--- a/src/willowpost/shell/reload.py
+++ b/src/willowpost/shell/reload.py
@@ -4,8 +4,8 @@
 
 from result import Err, Ok, Result
 
-from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.settings import DaemonSettings, SettingsReader
+from willowpost.shell.structured_log import StructuredLogger
 
 LIVE = ("seeds", "level", "pace")
 
--- a/src/willowpost/shell/segment_format.py
+++ b/src/willowpost/shell/segment_format.py
@@ -8,6 +8,7 @@
 import zlib
 from collections.abc import Iterator
 
+from willowpost.common.errors import WillowpostError
 from willowpost.common.formats import UnknownFormatError
 
 SEGMENT_FORMAT = 2
--- a/src/willowpost/shell/serving.py
+++ b/src/willowpost/shell/serving.py
@@ -8,9 +8,9 @@
 from gevent.event import Event
 
 from willowpost.common.events import SettingsChanged
-from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.runner import Runner
+from willowpost.shell.structured_log import StructuredLogger
 
 Reload = Callable[[], ProcessSettings | None]
 
--- a/src/willowpost/sim/core.py
+++ b/src/willowpost/sim/core.py
@@ -10,6 +10,7 @@
 from willowpost.node.command_client import CommandClient
 from willowpost.sim.rules import CoreRules
 from willowpost.sim.world import World, seconds
+from willowpost.state.codec import MEMBER
 from willowpost.store.node import StoreNode
 from willowpost.wire.messages import Member
 
@@ -89,13 +90,13 @@
                 me = Member(f"{name}-{self.chance.randrange(10**9)}", name, zone, address)
                 records = [{**identity_record(me), "may_bootstrap": seat.incarnation == 1}]
                 seat.disk.records = list(records)
-            held = records[0]
-            me = Member(held["identity"], held["name"], held["zone"], held["address"])
+            me = MEMBER.decode(records[0])
             # where bootstrap members are seeds, only the first start of all may found
+            is_first_start = records[0].get("may_bootstrap", False)
             rights = replace(
                 self.rights,
                 may_bootstrap=self.rights.may_bootstrap
-                and (held.get("may_bootstrap", False) or not self.rights.bootstrap_from_seeds),
+                and (is_first_start or not self.rights.bootstrap_from_seeds),
             )
             return StoreNode(
                 me,
@@ -124,10 +125,10 @@
             region,
         )
 
-    def ask(self, caller, *ops):
+    def ask(self, caller, *operations):
         """Submits operations through a client; returns the token of the reply."""
         self.asked += 1
-        self.give(caller, SubmitOperations(self.asked, ops))
+        self.give(caller, SubmitOperations(self.asked, operations))
         return self.asked
 
     def node_states(self):
--- a/src/willowpost/sim/fault_schedules.py
+++ b/src/willowpost/sim/fault_schedules.py
@@ -2,7 +2,10 @@
 
 from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.sim.core import CoreWorld
+from willowpost.sim.seat import Seat
 from willowpost.sim.world import Weather, seconds
+from willowpost.state.operations import EvacuateZone
+from willowpost.wire.messages import Member
 
 ROUNDS = 60
 
@@ -46,9 +49,7 @@
         world.add_caller("r1", list(reversed(world.names)))
         for number in range(self.rounds):
             caller = world.chance.choice(["r0", "r1"])
-            self.tokens.append(
-                world.ask(caller, {"op": "zone", "zone": f"z{number % 7}", "empty": True})
-            )
+            self.tokens.append(world.ask(caller, EvacuateZone(f"z{number % 7}", is_evacuated=True)))
             picked = world.chance.random()
             next((fault for limit, fault in self.faults if picked < limit), lambda: None)()
             world.run(world.chance.randrange(300_000))
@@ -122,7 +123,8 @@
             rights=VoterPolicy(bootstrap_from_seeds=True, max_voters=max_voters),
             **world,
         )
-        self.core: tuple = (0, ())  # (epoch, members) as far as anybody has got
+        self.epoch = 0  # the newest that any store has reached
+        self.newest_voters: tuple[Member, ...] = ()  # of that epoch
         self.swapped = 0  # the epoch that the last replacement began
         self.wiped = 0
         self.world.checks.append(self._look)
@@ -130,33 +132,35 @@
 
     def voters(self) -> int:
         """The number of voters in the newest epoch that any store has reached."""
-        return len(self.core[1])
+        return len(self.newest_voters)
 
     def unseated(self) -> list[str]:
         """Names of voters that lost their disk and have not been replaced."""
         return [
-            member["name"]
-            for member in self.core[1]
-            if self.world.seats[member["address"]].disk.records[0]["identity"] != member["identity"]
+            voter.name
+            for voter in self.newest_voters
+            if not _has_own_disk(self.world.seats[voter.address], voter)
         ]
 
     def _look(self, world, seat, event, plan):
         tables = getattr(getattr(seat.node, "node_state", None), "tables", None)
-        if tables is not None and tables.epoch > self.core[0]:
-            self.swapped = self.swapped if len(tables.core) > len(self.core[1]) else tables.epoch
-            self.core = (tables.epoch, tables.core)
+        if tables is not None and tables.epoch > self.epoch:
+            if len(tables.voters) <= len(self.newest_voters):
+                self.swapped = tables.epoch
+            self.epoch, self.newest_voters = tables.epoch, tables.voters
 
     def _wipe(self):
         """Loses one voter's disk, right after something was accepted if anything was.
 
         Another voter's process crashes at the same moment.
         """
-        world, seats = self.world, [self.world.seats[member["address"]] for member in self.core[1]]
+        world = self.world
+        seats = [world.seats[voter.address] for voter in self.newest_voters]
         there = all(
             seat.node is not None
-            and seat.disk.records[0]["identity"] == member["identity"]
+            and _has_own_disk(seat, voter)
             and seat.node.node_state.tables.epoch >= self.swapped
-            for seat, member in zip(seats, self.core[1], strict=False)
+            for seat, voter in zip(seats, self.newest_voters, strict=True)
         )
         if not there:
             return
@@ -174,3 +178,8 @@
     def _stand_up(self, name):
         if self.world.seats[name].node is None:
             self.world.start(name)
+
+
+def _has_own_disk(seat: Seat, voter: Member) -> bool:
+    """Whether the machine's disk holds the identity that votes, not one made since."""
+    return seat.disk.records[0]["identity"] == voter.identity
--- a/src/willowpost/sim/fleet/day.py
+++ b/src/willowpost/sim/fleet/day.py
@@ -49,8 +49,8 @@
             chosen_edge = self.chance.choices(
                 edges, [self._weight(int(edge[1:])) for edge in edges]
             )[0]
-            held = self.per_second.setdefault(self.time // SECOND, {})
-            held[chosen_edge] = held.get(chosen_edge, 0) + 1
+            calls_of_edges = self.per_second.setdefault(self.time // SECOND, {})
+            calls_of_edges[chosen_edge] = calls_of_edges.get(chosen_edge, 0) + 1
             self._one(chosen_edge)
         self.at(int(self.chance.expovariate(self.rate) * SECOND), self._call)
 
@@ -69,8 +69,8 @@
         for moment in refused:
             counts[moment // SECOND] = counts.get(moment // SECOND, 0) + 1
         busiest = max(
-            max(held.values()) / sum(held.values())
-            for second, held in self.per_second.items()
+            max(calls_of_edges.values()) / sum(calls_of_edges.values())
+            for second, calls_of_edges in self.per_second.items()
             if second > since // SECOND
         )
         return DayFigures(
--- a/src/willowpost/sim/fleet/faults/bounded.py
+++ b/src/willowpost/sim/fleet/faults/bounded.py
@@ -98,7 +98,7 @@
         return self._die(
             [
                 self.world.chance.choice(
-                    sorted({card["owner"] for card in tables.fences.values()})
+                    sorted({ownership.owner for ownership in tables.ownerships.values()})
                 ).split("/")[0]
             ]
         )
@@ -193,9 +193,9 @@
 
     def orders_race(self):
         """Two operators replace the same version at once."""
-        held = self.world.version
+        version = self.world.version
         for number in self.world.chance.sample(range(5), 2):
-            self._change_and_put(number, if_match=held)
+            self._change_and_put(number, if_match=version)
         return False
 
     def _change_and_put(self, number, if_match=None):
--- a/src/willowpost/sim/fleet/faults/machines.py
+++ b/src/willowpost/sim/fleet/faults/machines.py
@@ -48,9 +48,9 @@
         """At most one disk is lost at a time: the fleet is asked to bear one."""
         world = self.world
         holders = [
-            member["name"]
+            voter.name
             for _, node_state in world.node_states()
-            for member in node_state.tables.core
+            for voter in node_state.tables.voters
         ]
         whole = {
             name
@@ -80,7 +80,7 @@
             world.crash(lost, lose_disk=True)
             name = f"s{9 - self.newcomers}"
             world.seats[lost].retired = True
-            world.names = [held for held in world.names if held != lost] + [name]
+            world.names = [other for other in world.names if other != lost] + [name]
             world.zones[name] = zone
             world.add_store(name, name, zone)
 
--- a/src/willowpost/sim/fleet/faults/operators.py
+++ b/src/willowpost/sim/fleet/faults/operators.py
@@ -5,11 +5,14 @@
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.sim.fleet.faults.base import FaultSteps
+from willowpost.sim.fleet.operators import ALL_HOSTS
+from willowpost.state.entries import PurgeKind
+from willowpost.state.operations import EvacuateZone, PurgeCache
 
 LOST_PART = 0.7  # of the acknowledgements
 
 
-def _nothing(answer):
+def _nothing(result):
     pass
 
 
@@ -58,8 +61,8 @@
         for number in range(60):
             self.world.operate(
                 number % 5,
-                {"op": "purge", "kind": "item", "host": "*", "path": f"/art/{number % 40}"},
-                lambda answer: None,
+                PurgeCache(PurgeKind.ITEM, ALL_HOSTS, f"/art/{number % 40}"),
+                _nothing,
             )
 
     def replace_voter_seeds(self):
@@ -70,10 +73,10 @@
 
     def conditional_race(self):
         """Two operators replace the same version at once; one may win."""
-        held = self.world.version
+        version = self.world.version
         for registry in self.world.chance.sample(range(5), 2):
             self._change()
-            self.world.put_configuration(registry, if_match=held)
+            self.world.put_configuration(registry, if_match=version)
 
     def stale_condition(self):
         """An operator replaces a version that is not in force any more."""
@@ -131,8 +134,8 @@
         """The evacuation of a zone is begun and finished at two registries at once."""
         zone = self._one("abcd")
         one, other = self.world.chance.sample(range(5), 2)
-        self.world.operate(one, {"op": "zone", "zone": zone, "empty": True}, _nothing)
-        self.world.operate(other, {"op": "zone", "zone": zone, "empty": False}, _nothing)
+        self.world.operate(one, EvacuateZone(zone, is_evacuated=True), _nothing)
+        self.world.operate(other, EvacuateZone(zone, is_evacuated=False), _nothing)
 
     def invalid_configuration(self):
         """A configuration with a fault is found out before it is sent on."""
--- a/src/willowpost/sim/fleet/messages.py
+++ b/src/willowpost/sim/fleet/messages.py
@@ -57,7 +57,7 @@
         address: Where it listens.
         zone: Its zone.
         rate: Requests a second that it bears.
-        cold_rate: Requests a second that it bears when it has just started.
+        slow_start_rate: Requests a second that it bears when it has just started.
         load: Its reported load.
         token: Names its incarnation, or empty.
     """
@@ -66,7 +66,7 @@
     address: str
     zone: str
     rate: float
-    cold_rate: float
+    slow_start_rate: float
     load: int = 0
     token: str = ""
 
--- a/src/willowpost/sim/fleet/nodes.py
+++ b/src/willowpost/sim/fleet/nodes.py
@@ -5,10 +5,9 @@
 from greenlet import greenlet
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SubmitOperations, Received
+from willowpost.common.events import Received, SubmitOperations
 from willowpost.common.plan import Plan
 from willowpost.node.graceful_shutdown import Stage
-from willowpost.node.node_state import DaemonDescriptor
 from willowpost.proxy.admission.buckets import Allowance, Ramp
 from willowpost.proxy.admission.budget import RetryBudget
 from willowpost.proxy.node import ProxyNode
@@ -19,9 +18,13 @@
 from willowpost.proxy.routing.request import Request, WritePlan
 from willowpost.proxy.routing.tries import Tries
 from willowpost.registry.node import RegistryNode
+from willowpost.registry.origin_health import HealthCheckFinished, HeartbeatReceived
 from willowpost.registry.origin_lookup import same_incarnation
 from willowpost.sim.fleet.fault_injector import SimClock, SimFaultInjector
 from willowpost.sim.fleet.messages import SimAnswer, SimBeat, SimCall, SimRequest
+from willowpost.state.entries import DaemonDescriptor
+from willowpost.state.operations import RegisterOrigin
+from willowpost.wire.messages import OriginHeartbeat
 
 
 class SimProxy:
@@ -30,9 +33,9 @@
     Only time, network and sockets are simulated.
     """
 
-    def __init__(self, world, seat, card: DaemonDescriptor, seeds, wall):
+    def __init__(self, world, seat, descriptor: DaemonDescriptor, seeds, wall):
         self.world, self.seat = world, seat
-        self.node = ProxyNode(card, seeds, wall)
+        self.node = ProxyNode(descriptor, seeds, wall)
         self.proxy = self.node.node_state
         self.stats = Counter()
         self.fault_injector = SimFaultInjector(world, seat)
@@ -43,7 +46,7 @@
             Allowance(self.proxy),
             Ramp(self.proxy),
             RetryBudget(self.proxy.proxies, clock.now()),
-            OriginPicker(card.zone, world.chance, lambda: self.proxy.reports),
+            OriginPicker(descriptor.zone, world.chance, lambda: self.proxy.reports),
             self.fault_injector,
             self.stats,
         )
@@ -144,23 +147,24 @@
 
 
 class SimRegistry:
-    """A registry with the daemon's own control node; its probes of origins are simulated."""
+    """A registry with the daemon's own control node; its health checks are simulated."""
 
-    def __init__(self, world, seat, card, seeds, wall):
+    def __init__(self, world, seat, descriptor: DaemonDescriptor, seeds, wall):
         self.world, self.seat = world, seat
-        self.node = RegistryNode(card, seeds, wall, self._probe)
+        self.node = RegistryNode(descriptor, seeds, wall, self._probe)
         self.registry = self.node.node_state
         self.node.leaver.in_flight = self.node.command_client.waiting
 
     def _probe(self, origin, address, path):
-        held = self.world.seats.get(address)
-        there = (
-            held is not None
-            and held.node is not None
-            and held.frozen_until <= self.world.time
+        seat = self.world.seats.get(address)
+        is_healthy = (
+            seat is not None
+            and seat.node is not None
+            and seat.frozen_until <= self.world.time
             and (self.seat.address, address) not in self.world.cuts
         )
-        self.world.at(5 * MILLI, self.world.give, self.seat.address, ("probed", origin, there))
+        finished = HealthCheckFinished(origin, is_healthy)
+        self.world.at(5 * MILLI, self.world.give, self.seat.address, finished)
 
     def step(self, event, now):
         """Takes an event; heartbeats become registrations or reports; `now` is in µs."""
@@ -170,22 +174,15 @@
                 name = same_incarnation(tables, beat.address, beat.service, beat.token or None)
                 if name is not None:
                     self.world.traffic.learned_move(beat.address, beat.service)
-                    return self.node.step(("beat", name, beat.load), now)
-                return self.node.step(
-                    SubmitOperations(
-                        None,
-                        (
-                            {
-                                "op": "register",
-                                "service": beat.service,
-                                "address": beat.address,
-                                "zone": beat.zone,
-                                "rate": beat.rate,
-                                "cold_rate": beat.cold_rate,
-                                "token": beat.token or None,
-                            },
-                        ),
-                    ),
-                    now,
+                    heartbeat = OriginHeartbeat(name, beat.load)
+                    return self.node.step(HeartbeatReceived(heartbeat), now)
+                registration = RegisterOrigin(
+                    address=beat.address,
+                    service=beat.service,
+                    zone=beat.zone,
+                    rate=beat.rate,
+                    slow_start_rate=beat.slow_start_rate,
+                    token=beat.token or None,
                 )
+                return self.node.step(SubmitOperations(None, (registration,)), now)
         return self.node.step(event, now)
--- a/src/willowpost/sim/fleet/operators.py
+++ b/src/willowpost/sim/fleet/operators.py
@@ -1,7 +1,8 @@
 """The operators of a simulated fleet: their orders, what they hear, and what they do then."""
 
 import random
-from dataclasses import dataclass
+from collections.abc import Callable
+from dataclasses import dataclass, replace
 
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.configuration.checker import ConfigurationChecker
@@ -15,37 +16,54 @@
     Outcome,
     Request,
 )
-from willowpost.state.lifecycle import SUPERSEDED
-
+from willowpost.registry.origin_lookup import origin_at
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.entries import PurgeKind
+from willowpost.state.lifecycle import OriginState
+from willowpost.state.operations import ChangeOriginState, EvacuateZone, PurgeCache
+from willowpost.state.operations import Operation as LogOperation
+from willowpost.state.results import ConfigurationAccepted, Reason, Rejected, Result
+
+ALL_HOSTS = "*"
 LOOK_EVERY = 10 * MILLI  # at whether an answer has come
 GIVEN_UP_AFTER = 8 * SECOND
 RESEND_AFTER = 200 * MILLI  # of an order whose acknowledgement was lost
 
 
-def request_of(op: dict) -> Request | None:
+def request_of(operation: LogOperation) -> Request | None:
     """What an operation of the log is to a history; None if it concerns no operator's register."""
-    match op["op"]:
-        case "configuration" if op.get("version") is not None:
-            return Request(
-                Operation.REPLACE, CONFIGURATION_KEY, op["version"], content_of(op["tree"])
-            )
-        case "configuration":
-            return Request(Operation.PUT, CONFIGURATION_KEY, op["if_match"], content_of(op["tree"]))
-        case "zone":
-            operation = Operation.EVACUATION_BEGIN if op["empty"] else Operation.EVACUATION_FINISH
-            return Request(operation, ZONE_PREFIX + op["zone"])
-        case "purge":
+    match operation:
+        case ConfigurationProposal(version=None, if_match=if_match, tree=tree):
+            return Request(Operation.PUT, CONFIGURATION_KEY, if_match, content_of(tree))
+        case ConfigurationProposal(version=version, tree=tree):
+            return Request(Operation.REPLACE, CONFIGURATION_KEY, version, content_of(tree))
+        case EvacuateZone(zone, is_evacuated=True):
+            return Request(Operation.EVACUATION_BEGIN, ZONE_PREFIX + zone)
+        case EvacuateZone(zone):
+            return Request(Operation.EVACUATION_FINISH, ZONE_PREFIX + zone)
+        case PurgeCache():
             return Request(Operation.PURGE, PURGE_KEY)
     return None
 
 
-def answer_of(answers) -> Answer:
-    """What the log's answer says to a history."""
-    if answers is None:
+def answer_of(results: tuple[Result, ...] | None) -> Answer:
+    """What the results of an order's one operation say to a history; None: not known."""
+    if results is None:
         return Answer(Outcome.UNKNOWN)
-    held = answers[0]
-    outcome = Outcome.OK if held["ok"] else Outcome.REFUSED
-    return Answer(outcome, held.get("version"), changed=held.get("changed"))
+    result = results[0]
+    outcome = Outcome.OK if result.is_accepted else Outcome.REFUSED
+    match result:
+        case ConfigurationAccepted(version, is_changed):
+            return Answer(outcome, version, changed=is_changed)
+        case Rejected(version=int() as version):
+            return Answer(outcome, version, changed=False)
+    return Answer(outcome)
+
+
+def subject_of(operation: LogOperation) -> str:
+    """What an order is about; a newer order about the same makes it pointless."""
+    zone = operation.zone if isinstance(operation, EvacuateZone) else ""
+    return f"{type(operation).__name__}/{zone}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,15 +71,15 @@
     """What an operator wants, whoever it is sent to.
 
     Attributes:
-        op: The operation of the log.
-        accepted: Called with the log's answer if it is accepted and the operator hears of it.
-        concerned: What it is about; a newer order about the same makes it pointless.
-        number: Counts the orders about `concerned`.
+        operation: The operation of the log.
+        on_accepted: Called with the result if it is accepted and the operator hears of it.
+        subject: What it is about; see `subject_of`.
+        number: Counts the orders about `subject`.
     """
 
-    op: dict
-    accepted: object
-    concerned: str
+    operation: LogOperation
+    on_accepted: Callable[[Result], None]
+    subject: str
     number: int
 
 
@@ -98,114 +116,111 @@
         self.chance = random.Random(f"operators {seed}")
         self.lost_part = 0.0
         self.last_acknowledged_by = 0
-        self._newest: dict[str, int] = {}  # what an order concerns -> the newest order's number
+        self._newest: dict[str, int] = {}  # subject -> number of the newest order
 
-    def order(self, registry: int, op: dict, accepted) -> None:
-        """Send an operation; `accepted` is called with the log's answer if that is heard."""
-        concerned = f"{op['op']}/{op.get('zone', '')}"
-        number = self._newest.get(concerned, 0) + 1
-        self._newest[concerned] = number
-        self._send(_Order(op, accepted, concerned, number), registry)
+    def order(
+        self, registry: int, operation: LogOperation, on_accepted: Callable[[Result], None]
+    ) -> None:
+        """Send an operation; `on_accepted` is called with its result if that is heard."""
+        subject = subject_of(operation)
+        number = self._newest.get(subject, 0) + 1
+        self._newest[subject] = number
+        self._send(_Order(operation, on_accepted, subject, number), registry)
 
     def _send(self, order: _Order, registry: int):
         world = self.world
-        request = request_of(order.op)
+        request = request_of(order.operation)
         call = world.history.invoke(f"operator at r{registry}", request) if request else None
-        token = world.ask(f"r{registry}", self._fenced(registry, order.op))
+        token = world.ask(f"r{registry}", self._fenced(registry, order.operation))
         world.at(LOOK_EVERY, self._look, _Sending(order, registry, call, token, world.time))
 
     def _look(self, sending: _Sending):
         world = self.world
         if sending.token in world.replies:
-            self._hear(sending, world.replies[sending.token]["answers"])
+            self._hear(sending, world.replies[sending.token].results)
         elif world.time - sending.sent_at < GIVEN_UP_AFTER:
             world.at(LOOK_EVERY, self._look, sending)
 
-    def _hear(self, sending: _Sending, answers):
+    def _hear(self, sending: _Sending, results: tuple[Result, ...] | None):
         if self.lost_part and self.chance.random() < self.lost_part:
             self.world.at(RESEND_AFTER, self._again, sending)
             return
         if sending.call is not None:
-            self.world.history.answered(sending.call, answer_of(answers))
-        if answers is None:
+            self.world.history.answered(sending.call, answer_of(results))
+        if results is None:
             return
-        if answers[0]["ok"]:
+        result = results[0]
+        if result.is_accepted:
             self.last_acknowledged_by = sending.registry
-            sending.order.accepted(answers[0])
-        elif answers[0].get("why") == SUPERSEDED:
+            sending.order.on_accepted(result)
+        elif isinstance(result, Rejected) and result.reason == Reason.SUPERSEDED:
             self._again(sending)
 
     def _again(self, sending: _Sending):
         order = sending.order
-        if self._newest[order.concerned] == order.number or order.op["op"] == "purge":
+        is_newest = self._newest[order.subject] == order.number
+        if is_newest or isinstance(order.operation, PurgeCache):
             others = len(self.world.registries) - 1
             step = 1 + self.chance.randrange(others)
             self._send(order, (sending.registry + step) % len(self.world.registries))
 
-    def _fenced(self, registry, op):
+    def _fenced(self, registry: int, operation: LogOperation) -> LogOperation:
         """As a registry proposes an evacuation: it undoes nothing newer than its tables."""
         node = self.world.seats[f"r{registry}"].node
-        if op["op"] != "zone" or node is None:
-            return op
-        return {**op, "as_of": node.registry.tables.slot}
+        if not isinstance(operation, EvacuateZone) or node is None:
+            return operation
+        return replace(operation, known_slot=node.registry.tables.slot)
 
 
 class OperatorActions:
     """The orders that schedules and tests give, as a part of the world."""
 
-    def operate(self, registry, op, then):
+    def operate(
+        self, registry: int, operation: LogOperation, on_accepted: Callable[[Result], None]
+    ) -> None:
         """Send an operation of the log by way of a registry."""
-        self.operators.order(registry, op, then)
+        self.operators.order(registry, operation, on_accepted)
 
     def put_configuration(self, registry, if_match=None, version=None):
         """Send the world's configuration: under the next number, or under one of the operator's."""
         tree = ConfigurationChecker().check_value(self.configuration).unwrap()
-        op = {"op": "configuration", "tree": tree, "if_match": if_match}
-        if version is not None:
-            op["version"] = version
+        proposal = ConfigurationProposal(tree=tree, version=version, if_match=if_match)
 
-        def accepted(answer):
-            self.version = max(self.version, answer["version"])
-            self.traffic.accepted_configuration(answer["version"])
+        def on_accepted(result: ConfigurationAccepted) -> None:
+            self.version = max(self.version, result.version)
+            self.traffic.accepted_configuration(result.version)
 
-        self.operate(registry, op, accepted)
+        self.operate(registry, proposal, on_accepted)
 
-    def purge(self, registry, kind="prefix", path="/"):
+    def purge(self, registry, kind=PurgeKind.PREFIX, path="/"):
         """The content changes, then its old self is purged."""
         old = self.traffic.replace()
         self.operate(
             registry,
-            {"op": "purge", "kind": kind, "host": "*", "path": path},
-            lambda answer: self.traffic.purges.append((self.time, old)),
+            PurgeCache(kind, ALL_HOSTS, path),
+            lambda result: self.traffic.purges.append((self.time, old)),
         )
 
     def drain_origin(self, registry, address):
         """An origin says that it leaves, and beats no more."""
-        tables = self.seats[f"r{registry}"].node
-        if tables is None:
+        node = self.seats[f"r{registry}"].node
+        if node is None:
             return
-        name = next(
-            (
-                name
-                for name, card in tables.registry.tables.origins.items()
-                if card["address"] == address
-            ),
-            None,
-        )
+        name = origin_at(node.registry.tables, address, service=None)
         seat = self.seats[address]
         if name is not None and seat.node is not None:
             seat.node.silent = True
             incarnation = seat.incarnation
             self.operate(
                 registry,
-                {"op": "turn", "origin": name, "state": "draining"},
-                lambda answer: self.traffic.leaving.update({address: (self.time, incarnation)}),
+                ChangeOriginState(OriginState.DRAINING, origin=name),
+                lambda result: self.traffic.leaving.update({address: (self.time, incarnation)}),
             )
 
     def empty_zone(self, registry, zone, empty):
         """Begin or finish the evacuation of a zone."""
 
-        def done(answer):
+        def on_accepted(result):
             if empty:
                 self.traffic.emptied[zone] = self.time
             else:
@@ -213,4 +228,4 @@
 
         if not empty:
             self.traffic.emptied.pop(zone, None)
-        self.operate(registry, {"op": "zone", "zone": zone, "empty": empty}, done)
+        self.operate(registry, EvacuateZone(zone, is_evacuated=empty), on_accepted)
--- a/src/willowpost/sim/fleet/outside.py
+++ b/src/willowpost/sim/fleet/outside.py
@@ -63,13 +63,13 @@
             case Received(source, SimRequest() as instance_check) if (
                 instance_check.target == HEALTH
             ):
-                said = ((TOKEN_HEADER, self.token),) if self.token else ()
+                headers = ((TOKEN_HEADER, self.token),) if self.token else ()
                 plan.send(
                     source,
                     SimAnswer(
                         instance_check.number,
                         200,
-                        said,
+                        headers,
                         whole=instance_check.incarnation == self.seat.incarnation,
                         incarnation=self.seat.incarnation,
                     ),
@@ -87,12 +87,12 @@
             self.listening
             or not self.world.polite.get(self.seat.address)
             or any(
-                card["address"] == self.seat.address
-                and card["service"] == self.service
-                and card["state"] in ("cold", "warm")
+                origin.address == self.seat.address
+                and origin.service == self.service
+                and origin.is_in_force
                 for name in self.registries
                 if self.world.seats[name].node is not None
-                for card in self.world.seats[name].node.registry.tables.origins.values()
+                for origin in self.world.seats[name].node.registry.tables.origins.values()
             )
         )
         return self.listening
@@ -108,26 +108,28 @@
         self.served += 1
         if self.mode == "lost":
             return
-        headers = dict(asked.headers)
+        request_headers = dict(asked.headers)
         body = json.dumps(
             {
                 "path": asked.target,
-                "user": headers.get("authorization", ""),
+                "user": request_headers.get("authorization", ""),
                 "service": self.service,
                 "version": self.world.traffic.version,
                 "wrote": asked.body,
             }
         ).encode()
-        shared = asked.method == "GET" and "authorization" not in headers
-        said = (
+        shared = asked.method == "GET" and "authorization" not in request_headers
+        headers = (
             ("cache-control", f"max-age={self.world.keep}" if shared else "private"),
             ("etag", f'"{self.world.traffic.version}"'),
         )
-        if shared and headers.get("if-none-match") == f'"{self.world.traffic.version}"':
-            plan.send(source, SimAnswer(asked.number, 304, said, incarnation=self.seat.incarnation))
+        if shared and request_headers.get("if-none-match") == f'"{self.world.traffic.version}"':
+            plan.send(
+                source, SimAnswer(asked.number, 304, headers, incarnation=self.seat.incarnation)
+            )
             return
         answer = SimAnswer(
-            asked.number, 200, said, body, self.mode != "short", self.seat.incarnation
+            asked.number, 200, headers, body, self.mode != "short", self.seat.incarnation
         )
         if self.mode == "twice":
             plan.send(source, answer)
--- a/src/willowpost/sim/fleet/process_rules.py
+++ b/src/willowpost/sim/fleet/process_rules.py
@@ -29,18 +29,20 @@
 
         It must hold every configuration accepted by then, since the next read is answered from it.
         """
-        held = (getattr(seat.node, name, None) for name in ("proxy", "registry", "node_state"))
-        node_state = next((state for state in held if state is not None), None)
+        candidates = (
+            getattr(seat.node, name, None) for name in ("proxy", "registry", "node_state")
+        )
+        node_state = next((state for state in candidates if state is not None), None)
         fresh = getattr(node_state, "fresh_as_of", None)
         if fresh is None or not self.traffic.configurations:
             return
         as_of = fresh - seat.clock_base
         accepted, version = max(
-            ((at, held) for at, held in self.traffic.configurations if at <= as_of),
+            ((at, version) for at, version in self.traffic.configurations if at <= as_of),
             default=(0, 0),
-            key=lambda held: held[1],
+            key=lambda configuration: configuration[1],
         )
-        known = node_state.tables.configuration["version"]
+        known = node_state.tables.configuration.version
         self.traffic.say(
             known >= version,
             f"{seat.address} calls itself whole as of t={as_of} with configuration {known}, "
@@ -51,16 +53,16 @@
         """Checks that a proxy that may serve has each configuration in time."""
         if not proxy.leased(world.now(seat)) or seat.frozen_until > world.time:
             return
-        held = proxy.snapshot.version
+        version_in_force = proxy.snapshot.version
         for accepted, version in self.traffic.configurations[-3:]:
             late = world.time - accepted
             if late > GRACE:
                 self.traffic.say(
-                    held >= version,
-                    f"{seat.address} may deliver with configuration {held}, "
+                    version_in_force >= version,
+                    f"{seat.address} may deliver with configuration {version_in_force}, "
                     f"{version} was accepted {late / SECOND:.2f} s ago",
                 )
-            elif held < version:
+            elif version_in_force < version:
                 self.traffic.note_margin("configuration not in force, ms", late)
 
     def _never_back(self, world, seat, proxy):
--- a/src/willowpost/sim/fleet/readers.py
+++ b/src/willowpost/sim/fleet/readers.py
@@ -64,13 +64,14 @@
         self._answer(node_state.tables, calls)
 
     def _answer(self, tables, calls):
-        held = tables.configuration
+        configuration = tables.configuration
         history = self.world.history
-        digest = self._digest_of(held["tree"])
-        history.answered(calls[0], Answer(Outcome.OK, held["version"], digest))
+        digest = self._digest_of(configuration.tree)
+        history.answered(calls[0], Answer(Outcome.OK, configuration.version, digest))
         for call, zone in zip(calls[1:], self.world.shape.zones, strict=True):
-            evacuated = bool(tables.zones.get(zone, {}).get("empty"))
-            history.answered(call, Answer(Outcome.OK, evacuated=evacuated))
+            evacuation = tables.zone_evacuations.get(zone)
+            is_evacuated = evacuation is not None and evacuation.is_evacuated
+            history.answered(call, Answer(Outcome.OK, evacuated=is_evacuated))
 
     def _digest_of(self, tree):
         if self._digest[0] is not tree:
--- a/src/willowpost/sim/fleet/route_changes.py
+++ b/src/willowpost/sim/fleet/route_changes.py
@@ -6,6 +6,7 @@
 """
 
 import copy
+import json
 import random
 from dataclasses import dataclass, replace
 
@@ -15,6 +16,7 @@
 from willowpost.registry.calls.change_carrier import ChangeCarrier
 from willowpost.sim.fleet.shape import SMALL
 from willowpost.sim.fleet.world import FleetWorld
+from willowpost.state.codec import encode_operation
 from willowpost.state.configuration_changes import ConfigurationProposal, content_digest
 
 APPLIED_AFTER = 2 * SECOND
@@ -114,9 +116,10 @@
         )
         registry = f"r{len(self.changes) % 2}"
         tables = self.world.seats[registry].node.registry.tables
-        op = {**proposal.as_op(), **ChangeCarrier(proposal).fields(tables)}
+        operation = replace(proposal, **ChangeCarrier(proposal).fields(tables))
+        size = len(json.dumps(encode_operation(operation)))
         self.changes.append(
-            SentChange(self.world.ask(registry, op), frozenset(self.paths), len(repr(op)))
+            SentChange(self.world.ask(registry, operation), frozenset(self.paths), size)
         )
 
     def _note_accepted(self):
