--- a/src/willowpost/sim/fleet/rules.py
+++ b/src/willowpost/sim/fleet/rules.py
@@ -168,19 +168,19 @@
         if answer.status != 200:
             self._judge_failure(answer, write)
             return
-        said = json.loads(answer.body)
+        content = json.loads(answer.body)
         rude = any(not self.world.polite.get(address, True) for address in self.world.polite)
         self.say(
-            said["path"] == path
-            and said["user"] == user
-            and said["wrote"] == write
-            and (said["service"] == self.world.service_of(path) or rude),
-            f"wrong answer for {path}: {said}",
+            content["path"] == path
+            and content["user"] == user
+            and content["wrote"] == write
+            and (content["service"] == self.world.service_of(path) or rude),
+            f"wrong answer for {path}: {content}",
         )
         self.served.append((self.world.time, edge))
         if write or user:
             return
-        self._judge_content(said, path, edge, began)
+        self._judge_content(content, path, edge, began)
 
     def _judge_failure(self, answer, write):
         headers = dict(answer.headers)
@@ -191,18 +191,18 @@
             self.refusals.append((self.world.time, answer.status, answer.body.decode()))
             self.say("retry-after" in headers, f"{answer.status} without Retry-After")
 
-    def _judge_content(self, said, path, edge, began):
+    def _judge_content(self, content, path, edge, began):
         """Checks that content is neither purged nor past its keep time."""
         for accepted, version in self.purges:
             if began > accepted + GRACE:
                 self.say(
-                    said["version"] > version,
-                    f"{path} at {edge}: version {said['version']} purged "
+                    content["version"] > version,
+                    f"{path} at {edge}: version {content['version']} purged "
                     f"{(began - accepted) / SECOND:.2f} s before was served",
                 )
-            elif said["version"] <= version and self.world.time > accepted:
+            elif content["version"] <= version and self.world.time > accepted:
                 self.note_margin("purged content, ms", self.world.time - accepted)
-        replaced = self.replaced.get(said["version"])
+        replaced = self.replaced.get(content["version"])
         if replaced is not None:
             self.note_margin(
                 "past keep time, ms", self.world.time - replaced - self.world.keep * SECOND
--- a/src/willowpost/sim/fleet/seats.py
+++ b/src/willowpost/sim/fleet/seats.py
@@ -1,8 +1,8 @@
 """Builds the processes of a simulated fleet that are no stores."""
 
-from willowpost.node.node_state import DaemonDescriptor
 from willowpost.sim.fleet.nodes import SimProxy, SimRegistry
 from willowpost.sim.fleet.outside import SimOrigin
+from willowpost.state.entries import DaemonDescriptor
 
 
 class SeatBuilders:
--- a/src/willowpost/sim/fleet/settling.py
+++ b/src/willowpost/sim/fleet/settling.py
@@ -91,8 +91,7 @@
 
     def _judge_read_back(self):
         versions = {
-            self.seats[name].node.registry.tables.configuration["version"]
-            for name in self.registries
+            self.seats[name].node.registry.tables.configuration.version for name in self.registries
         }
         self.traffic.say(
             min(versions) >= self.version, f"read back {versions}, accepted {self.version}"
--- a/src/willowpost/sim/fleet/shape.py
+++ b/src/willowpost/sim/fleet/shape.py
@@ -96,10 +96,10 @@
 
 def shipped(name: str) -> tuple[Shape, dict, int]:
     """A shipped deployment at its peak: (shape, regions by zone, ms between regions)."""
-    held = json.loads((files("willowpost.deployments") / f"{name}.json").read_text())
-    cores = [machine for machine in held["machines"] if machine["kind"] != "edge"]
+    deployment = json.loads((files("willowpost.deployments") / f"{name}.json").read_text())
+    cores = [machine for machine in deployment["machines"] if machine["kind"] != "edge"]
     origins: dict = {}
-    for origin in held["origins"]:
+    for origin in deployment["origins"]:
         origins.setdefault(origin["service"], []).append((origin["zone"], float(origin["rate"])))
     kinds = tuple(
         Kind(
@@ -110,18 +110,18 @@
             kind.get("personal", False),
             kind["method"] == "POST",
         )
-        for kind in held["mix"]
+        for kind in deployment["mix"]
     )
     shape = Shape(
         tuple(machine["zone"] for machine in cores),
         tuple(number for number, machine in enumerate(cores) if machine["kind"] == "shield"),
-        tuple(machine["zone"] for machine in held["machines"] if machine["kind"] == "edge"),
+        tuple(machine["zone"] for machine in deployment["machines"] if machine["kind"] == "edge"),
         {service: tuple(members) for service, members in origins.items()},
-        held["configuration"],
+        deployment["configuration"],
         kinds,
-        held["host"],
-        float(held["rate"]),
+        deployment["host"],
+        float(deployment["rate"]),
         10,
         8.0,
     )
-    return shape, held["regions"], held["between"]["ms"]
+    return shape, deployment["regions"], deployment["between"]["ms"]
--- a/src/willowpost/sim/fleet/world.py
+++ b/src/willowpost/sim/fleet/world.py
@@ -127,14 +127,15 @@
         """Every machine of a zone: stores with their registries, proxies and origins."""
         stores = [name for name in self.names if self.zones[name] == zone]
         stores = [name for name in stores if not self.seats[name].retired]
-        registries = [f"r{number}" for number, held in enumerate(self.shape.cores) if held == zone]
-        proxies = [f"e{number}" for number, held in enumerate(self.shape.edges) if held == zone]
-        shields = [name for name in (f"h{held[1:]}" for held in registries) if name in self.seats]
+        numbers = [number for number, other in enumerate(self.shape.cores) if other == zone]
+        registries = [f"r{number}" for number in numbers]
+        proxies = [f"e{number}" for number, other in enumerate(self.shape.edges) if other == zone]
+        shields = [name for name in (f"h{number}" for number in numbers) if name in self.seats]
         origins = [
             f"{service}{number}"
             for service, members in self.shape.origins.items()
-            for number, (held, _) in enumerate(members)
-            if held == zone
+            for number, (other, _) in enumerate(members)
+            if other == zone
         ]
         return stores + registries + proxies + shields + origins
 
--- a/src/willowpost/sim/pace.py
+++ b/src/willowpost/sim/pace.py
@@ -9,6 +9,7 @@
 from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import Weather, seconds
+from willowpost.state.operations import EvacuateZone
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +47,14 @@
     """
 
     def __init__(
-        self, zones, regions, between: int, jitter: int, pace: ReplicaTuning, rate: float, seed: int = 1
+        self,
+        zones,
+        regions,
+        between: int,
+        jitter: int,
+        pace: ReplicaTuning,
+        rate: float,
+        seed: int = 1,
     ):
         self.weather = Weather(
             least=100,
@@ -83,21 +91,21 @@
                 self._collect()
             token = world.ask(
                 f"r{world.chance.randrange(len(self.zones))}",
-                {"op": "zone", "zone": f"z{len(self.asked) % 9}", "empty": True},
+                EvacuateZone(f"z{len(self.asked) % 9}", is_evacuated=True),
             )
             self.asked[token] = world.time
         world.run(seconds(1))
         self._collect()
         node_states = [node_state for _, node_state in world.node_states()]
-        held = sorted(self.took)
+        latencies = sorted(self.took)
         voted = sum(node_state.stats["voted"] for node_state in node_states)
         return PaceFigures(
-            len(held),
+            len(latencies),
             node_states[0].stats["decided"],
             node_states[0].stats["null"] / node_states[0].stats["decided"],
             sum(node_state.stats["fast"] for node_state in node_states) / max(1, voted),
-            held[len(held) // 2] / 1000,
-            held[int(len(held) * 0.99)] / 1000,
+            latencies[len(latencies) // 2] / 1000,
+            latencies[int(len(latencies) * 0.99)] / 1000,
         )
 
     def _collect(self):
--- a/src/willowpost/sim/replacement_faults.py
+++ b/src/willowpost/sim/replacement_faults.py
@@ -8,6 +8,7 @@
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import Weather, seconds
+from willowpost.state.operations import EvacuateZone
 
 CYCLES = 4
 CATCH_UP = seconds(4)
@@ -80,8 +81,7 @@
         """Whether every voter of every store's tables is a live store with its own disk."""
         live = {state.me.identity for _, state in self.world.node_states()}
         return all(
-            {member["identity"] for member in state.tables.core} <= live
-            and len(state.tables.core) == self.size
+            state.tables.voter_identities() <= live and len(state.tables.voters) == self.size
             for _, state in self.world.node_states()
         )
 
@@ -94,11 +94,12 @@
 
     def _order(self):
         zone = f"z{len(self.tokens) % 7}"
-        self.tokens.append(self.world.ask("r0", {"op": "zone", "zone": zone, "empty": True}))
+        self.tokens.append(self.world.ask("r0", EvacuateZone(zone, is_evacuated=True)))
 
     def _voters(self) -> list[str]:
-        _, newest = max(self.world.node_states(), key=lambda held: held[1].tables.slot)
-        return [member["address"] for member in newest.tables.core]
+        node_states = [node_state for _, node_state in self.world.node_states()]
+        newest = max(node_states, key=lambda node_state: node_state.tables.slot)
+        return [voter.address for voter in newest.tables.voters]
 
     def _replace_machine(self, cycle):
         world = self.world
--- a/src/willowpost/sim/retry_arrivals.py
+++ b/src/willowpost/sim/retry_arrivals.py
@@ -135,9 +135,9 @@
     def worst(self) -> WorstWindow:
         """The worst of all windows of WINDOW, against the requests that the operator counts."""
         extras, requests = sorted(self.extras), Counts(self.requests)
-        held = Counts(extras)
+        arrivals = Counts(extras)
         windows = (
-            WorstWindow(at, held.within(at - WINDOW, at), self._allowed(requests, at))
+            WorstWindow(at, arrivals.within(at - WINDOW, at), self._allowed(requests, at))
             for at in extras
         )
         return max(windows, key=lambda window: window.over, default=WorstWindow(0, 0, SLACK))
--- a/src/willowpost/sim/rules.py
+++ b/src/willowpost/sim/rules.py
@@ -4,7 +4,7 @@
 import re
 
 from willowpost.consensus.replica.records import RecordKind
-from willowpost.wire.messages import CommandAccepted, BallotState, SubmitCommand
+from willowpost.wire.messages import BallotState, Command, CommandAccepted, SubmitCommand
 
 
 class Broken(AssertionError):
@@ -13,8 +13,8 @@
     @property
     def rule(self) -> str:
         """The text without time, names, numbers and examples, equal for all breaks of one rule."""
-        said = re.sub(r"[:;,(\[] *[\[({].*", "", re.sub(r"^t=\d+: ", "", str(self)))
-        return re.sub(r"[\w./@%-]*\d[\w./@%-]*", "N", said)
+        text = re.sub(r"[:;,(\[] *[\[({].*", "", re.sub(r"^t=\d+: ", "", str(self)))
+        return re.sub(r"[\w./@%-]*\d[\w./@%-]*", "N", text)
 
 
 class CoreRules:
@@ -28,10 +28,10 @@
         self.submitted: set[str] = set()
         self.decided: dict[int, str] = {}
         self.accepted: dict[str, int] = {}
-        self.said: dict[tuple, BallotState] = {}
+        self.sent_ballots: dict[tuple, BallotState] = {}
         self.slots: dict[tuple, int] = {}
-        # what each machine's disk has held, also if it was lost since
-        self.held: dict[str, int] = {}
+        # address -> the slot below which its disks held all, also if they were lost since
+        self.disk_slots: dict[str, int] = {}
 
     def __call__(self, world, seat, event, plan):
         """Checks one step of a process.
@@ -45,8 +45,8 @@
         node_state = getattr(seat.node, "node_state", None)
         if node_state is None:
             return
-        self.held[seat.address] = max(
-            self.held.get(seat.address, 0), disk_slot([*(plan.rotate or ()), *plan.records])
+        self.disk_slots[seat.address] = max(
+            self.disk_slots.get(seat.address, 0), disk_slot([*(plan.rotate or ()), *plan.records])
         )
         for record in plan.records:
             if record["k"] == RecordKind.DECISION:
@@ -54,7 +54,9 @@
         for _, message in plan.sends:
             if isinstance(message, BallotState):
                 self._stand(world, seat, message)
-            if isinstance(message, CommandAccepted) and isinstance(json.loads(message.answers), list):
+            if isinstance(message, CommandAccepted) and isinstance(
+                json.loads(message.answers), list
+            ):
                 self._accept(world, seat, message)
         place = (seat.address, seat.incarnation)
         self._say(
@@ -83,7 +85,7 @@
 
     def _stand(self, world, seat, ballot_state):
         place = (ballot_state.identity, ballot_state.epoch, ballot_state.slot)
-        known = self.said.get(place)
+        known = self.sent_ballots.get(place)
         if known is not None:
             same = (
                 known.proposal == ballot_state.proposal
@@ -103,20 +105,20 @@
         if known is None or len(ballot_state.states) + len(ballot_state.votes) > len(
             known.states
         ) + len(known.votes):
-            self.said[place] = ballot_state
+            self.sent_ballots[place] = ballot_state
 
     def _accept(self, world, seat, accepted):
         self.accepted[accepted.key] = accepted.slot
         node_state = seat.node.node_state
-        members = {member["address"] for member in node_state.tables.core}
+        voters = {voter.address for voter in node_state.tables.voters}
         holding = sum(
-            max(self.held.get(address, 0), disk_slot(world.seats[address].disk.records))
+            max(self.disk_slots.get(address, 0), disk_slot(world.seats[address].disk.records))
             > accepted.slot
-            for address in members
+            for address in voters
             if address in world.seats
         )
         self._say(
-            holding >= len(members) - (len(members) - 1) // 2,
+            holding >= len(voters) - (len(voters) - 1) // 2,
             world,
             seat,
             f"{accepted.key} accepted with only {holding} disks holding it",
@@ -143,8 +145,6 @@
 
 
 def _command(key):
-    from willowpost.wire.messages import Command
-
     daemon, incarnation, counter = key.rsplit("/", 2)
     return Command(daemon, int(incarnation), int(counter))
 
--- a/src/willowpost/sim/scripted_core.py
+++ b/src/willowpost/sim/scripted_core.py
@@ -6,7 +6,9 @@
 from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
-from willowpost.state.apply.voters import is_settled
+from willowpost.state.apply.voters import is_change_complete
+from willowpost.state.lifecycle import DaemonState
+from willowpost.state.operations import EvacuateZone
 from willowpost.store.graceful_shutdown import StoreShutdownTimeouts
 from willowpost.wire.messages import Pong, SubmitCommand, SyncedIndex
 
@@ -36,7 +38,7 @@
             super()._arrive(address, source, message)
 
     def founded(self):
-        """Until all stores hold the founding and each other's cards."""
+        """Until all stores hold the founding and each other's descriptors."""
         stores = len(self.names)
         return self.until(lambda: self.bootstrapped() and self.joined() >= stores, seconds(8))
 
@@ -54,12 +56,12 @@
 
     def accept(self, zone, caller="r0", span=3.0):
         """Submits an order; whether it was accepted in that span (s)."""
-        token = self.ask(caller, {"op": "zone", "zone": zone, "empty": True})
+        token = self.ask(caller, EvacuateZone(zone, is_evacuated=True))
         return self.until(lambda: token in self.replies, seconds(span))
 
     def holds(self, name, zone):
         """Whether the order for this zone is applied at this store."""
-        return zone in self.state(name).tables.zones
+        return zone in self.state(name).tables.zone_evacuations
 
     def epoch(self, name):
         """The epoch in force as this store knows it."""
@@ -71,7 +73,7 @@
 
     def voters(self, name):
         """The names of the voters as this store knows them."""
-        return {member["name"] for member in self.state(name).tables.core}
+        return {voter.name for voter in self.state(name).tables.voters}
 
     def hold_lost(self, target):
         """The log holds a live store lost: its answers to its watchers don't come."""
@@ -82,7 +84,8 @@
 
         def lost():
             return all(
-                state.tables.daemons.get(identity, {}).get("state") == "lost"
+                identity in state.tables.daemons
+                and state.tables.daemons[identity].state is DaemonState.LOST
                 for _, state in self.node_states()
             )
 
@@ -101,7 +104,11 @@
         """This store's commands of one op are lost; returns the predicate."""
 
         def blocks(sender, address, message):
-            return sender == source and isinstance(message, SubmitCommand) and op in message.command.body
+            return (
+                sender == source
+                and isinstance(message, SubmitCommand)
+                and op in message.command.body
+            )
 
         self.blocked.append(blocks)
         return blocks
@@ -135,7 +142,7 @@
 
     def card_state(self, teller, name):
         """What one store's tables say of another."""
-        return self.state(teller).tables.daemons[self.identity(name)]["state"]
+        return self.state(teller).tables.daemons[self.identity(name)].state
 
     def votes(self, name):
         """Whether this store votes, as it knows itself."""
@@ -143,7 +150,7 @@
 
     def settled(self, name):
         """Whether the log shows, to this store, that the last change of the voters is finished."""
-        return is_settled(self.state(name).tables)
+        return is_change_complete(self.state(name).tables)
 
     def lose_first_index(self, source):
         """The index that this store tells with its decisions is lost; later ones are not."""
--- a/src/willowpost/sim/world.py
+++ b/src/willowpost/sim/world.py
@@ -26,7 +26,7 @@
         cuts: (source, target) pairs between which nothing arrives.
         checks: Called with (world, seat, event, plan) after each step.
         replies: Token to result.
-        notes: (time, address, *note) of all plans' notes.
+        notes: (time, address, part, sentence, fields) of all plans' log entries.
         sent: Number of messages sent, by type.
     """
 
@@ -214,7 +214,7 @@
         if not self.unsafe_send:
             self._send(seat, plan)
         self.replies.update({token: result for token, result in plan.replies})
-        self.notes += [(self.time, seat.address, *note) for note in plan.notes]
+        self.notes += [(self.time, seat.address, *entry) for entry in plan.log_entries]
         for check in self.checks:
             check(self, seat, event, plan)
 
--- a/src/willowpost/stand_ins/callers.py
+++ b/src/willowpost/stand_ins/callers.py
@@ -66,8 +66,8 @@
 
     def _look(self, edge):
         while True:
-            held = ask(edge, "GET", "/.wp/health", seconds=1)
-            sound = held is not None and held[0] == 200
+            reply = ask(edge, "GET", "/.wp/health", seconds=1)
+            sound = reply is not None and reply[0] == 200
             if sound and edge not in self.sound:
                 self.sound = [*self.sound, edge]
             elif not sound:
@@ -101,31 +101,31 @@
             headers["Authorization"] = user
         body = json.dumps({"id": identity}) if kind["method"] == "POST" else ""
         began = self.clock.now()
-        held = self._send(edge, kind["method"], path, headers, body)
+        reply = self._send(edge, kind["method"], path, headers, body)
         self.tally.latencies.append((began, self.clock.now() - began))
         self.tally.per_edge.setdefault(edge, Counter())[began // 1_000_000] += 1
-        self._judge(kind, edge, path, user, identity, began, held)
+        self._judge(kind, edge, path, user, identity, began, reply)
 
-    def _judge(self, kind, edge, path, user, identity, began, held):
+    def _judge(self, kind, edge, path, user, identity, began, reply):
         tally, write = self.tally, kind["method"] == "POST"
-        if isinstance(held, str):
+        if isinstance(reply, str):
             tally.outcomes["connection"] += 1
-            tally.dropped.append((began, edge, held))
+            tally.dropped.append((began, edge, reply))
             if write:
                 tally.unknown.add(identity)
             return
-        code, headers, text = held
+        code, headers, text = reply
         tally.outcomes[code] += 1
         if code == 200:
             try:
-                said = json.loads(text.partition(b"\n")[0])
+                echo = json.loads(text.partition(b"\n")[0])
             except ValueError:
-                said = {}
+                echo = {}
             right = (
-                said.get("path") == path
-                and said.get("user") == user
-                and said.get("service") == kind["service"]
-                and said.get("wrote") == (identity if write else None)
+                echo.get("path") == path
+                and echo.get("user") == user
+                and echo.get("service") == kind["service"]
+                and echo.get("wrote") == (identity if write else None)
             )
             if not right:
                 tally.wrong.append((began, edge, path, text[:120].decode(errors="replace")))
@@ -133,7 +133,7 @@
                 tally.done.add(identity)
             elif not user:
                 tally.versions.append(
-                    (began, said.get("version"), path, headers.get("wp-cache"), edge)
+                    (began, echo.get("version"), path, headers.get("wp-cache"), edge)
                 )
             return
         reason = text[:100].decode(errors="replace")
@@ -146,10 +146,10 @@
             tally.wrong.append((began, edge, path, f"{code} without Retry-After: {reason}"))
 
     def _send(self, edge, method, path, headers, body):
-        held = self.clients.setdefault(edge, [])
+        idle_clients = self.clients.setdefault(edge, [])
         client = (
-            held.pop()
-            if held
+            idle_clients.pop()
+            if idle_clients
             else HTTPClient(*split(edge), connection_timeout=1, network_timeout=10, concurrency=1)
         )
         try:
@@ -160,7 +160,7 @@
                 {name.lower(): value for name, value in answer.headers},
                 bytes(text),
             )
-            held.append(client)
+            idle_clients.append(client)
             return result
         except Exception as problem:  # refused, reset, short: the caller sees a dropped request
             client.close()
--- a/src/willowpost/stand_ins/main.py
+++ b/src/willowpost/stand_ins/main.py
@@ -18,10 +18,11 @@
     So a write that ran on two of them counts twice.
     """
 
-    def __init__(self, cards):
+    def __init__(self, origins):
         self.ledger, self.clock = Ledger(), Clock()
         self.origins = {
-            card["address"]: StandInsOrigin(self.ledger, self.clock, **card) for card in cards
+            origin["address"]: StandInsOrigin(self.ledger, self.clock, **origin)
+            for origin in origins
         }
 
     def steer(self, call):
--- a/src/willowpost/stand_ins/origin.py
+++ b/src/willowpost/stand_ins/origin.py
@@ -115,9 +115,9 @@
                     json.dumps(value),
                     headers={"Content-Type": "application/json"},
                 )
-                held = json.loads(answer.read())
+                reply = json.loads(answer.read())
                 if answer.status_code in (200, 201):
-                    return held
+                    return reply
             except Exception:  # that registry is not there: say it to the next
                 continue
             finally:
--- a/src/willowpost/state/apply/evacuations.py
+++ b/src/willowpost/state/apply/evacuations.py
@@ -26,9 +26,7 @@
             return Transition(tables, Accepted())
         return rejected(tables, Reason.SUPERSEDED)
     order = ZoneEvacuation(operation.is_evacuated, tables.slot, scope)
-    after = replace(
-        tables, zone_evacuations={**tables.zone_evacuations, operation.zone: order}
-    )
+    after = replace(tables, zone_evacuations={**tables.zone_evacuations, operation.zone: order})
     was_evacuated = before is not None and before.is_evacuated
     if was_evacuated and not operation.is_evacuated and scope == EvacuationScope.ORIGINS:
         after = replace(after, origins=_warming_up(tables, operation.zone))
--- a/src/willowpost/state/configuration_changes.py
+++ b/src/willowpost/state/configuration_changes.py
@@ -62,6 +62,8 @@
         """
         if self.tree_delta is None:
             return self
+        if in_force.tree is None:
+            raise KeyError("no configuration is in force")
         delta = ConfigurationDelta(self.tree_delta, self.source_delta)
         tree, source = delta.on(in_force.tree, in_force.source)
         return replace(self, tree=tree, source=source)
@@ -74,14 +76,14 @@
     Attributes:
         version: The version that it made.
         based_on: The version that its sender required; None if it required none.
-        content: Digest of the configuration in force from then on.
+        content: Digest of the configuration in force from then on; None if it was not proposed.
         patch: Digest of the patch as it was sent; None if the whole configuration was sent.
         key: Digest of the idempotency key; None if there was none.
     """
 
     version: int
     based_on: int | None
-    content: str
+    content: str | None
     patch: str | None = None
     key: str | None = None
 
--- a/src/willowpost/store/graceful_shutdown.py
+++ b/src/willowpost/store/graceful_shutdown.py
@@ -17,8 +17,8 @@
 from willowpost.consensus.replica.barrier import previous_identities
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.node.command_client import CommandClient
-from willowpost.node.join import FleetJoin
 from willowpost.node.graceful_shutdown import ShutdownRequested
+from willowpost.node.join import FleetJoin
 from willowpost.state.apply.voters import is_change_complete, successor_of
 from willowpost.state.operations import DrainDaemon
 from willowpost.store.voter_repair import VoterRepair
--- a/src/willowpost/store/node.py
+++ b/src/willowpost/store/node.py
@@ -9,13 +9,13 @@
 from willowpost.consensus.replica.compaction import Compaction
 from willowpost.consensus.replica.missed_change import MissedChange
 from willowpost.consensus.replica.quorum_reads import Reads
-from willowpost.consensus.replica.replica_state import ReplicaTuning, ReplicaState
+from willowpost.consensus.replica.replica_state import ReplicaState, ReplicaTuning
 from willowpost.consensus.replica.voting import Voting
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.command_client import CommandClient
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.node.join import FleetJoin
 from willowpost.state.entries import DaemonDescriptor
-from willowpost.node.failure_detector import FailureDetector
 from willowpost.store.graceful_shutdown import StoreShutdown
 from willowpost.store.voter_repair import VoterRepair
 from willowpost.wire.messages import Member
@@ -46,7 +46,9 @@
         )
         repair = VoterRepair(self.node_state, self.command_client, incarnation, rights.max_voters)
         joiner = FleetJoin(self.descriptor, self._tables, self.command_client)
-        self.leaver = StoreShutdown(self.node_state, self.command_client, joiner, repair, incarnation)
+        self.leaver = StoreShutdown(
+            self.node_state, self.command_client, joiner, repair, incarnation
+        )
         self.controllers: list[Controller] = [
             Bootstrap(self.node_state, tuple(seeds), size, rights),
             Catchup(self.node_state),
--- a/src/willowpost/toolbox/folder.py
+++ b/src/willowpost/toolbox/folder.py
@@ -7,7 +7,12 @@
 from typing import Any
 
 from willowpost.common.formats import UnknownFormatError
-from willowpost.consensus.replica.records import RecordKind, command_from, decision_from
+from willowpost.consensus.replica.records import (
+    RecordKind,
+    command_from,
+    decision_from,
+    founding_voters,
+)
 from willowpost.shell.disk import ASIDE, segments_in
 from willowpost.shell.segment_format import DiskDamagedError, parse
 from willowpost.state.apply import StateMachine
--- a/src/willowpost/toolbox/planner.py
+++ b/src/willowpost/toolbox/planner.py
@@ -5,7 +5,9 @@
 
 from willowpost.configuration.routes import Route, routes_of
 from willowpost.proxy.routing.snapshot import SnapshotMaker
-from willowpost.state.apply.operators import zone as empty_zone
+from willowpost.state.apply import apply_operation
+from willowpost.state.lifecycle import DaemonState
+from willowpost.state.operations import EvacuateZone
 from willowpost.state.tables import Tables
 
 
@@ -15,8 +17,8 @@
 
 def _changed(before: Route, after: Route) -> dict[str, list[Any]]:
     """What differs of a route; an absent kind and an empty split are told as null and []."""
-    held, wanted = asdict(before), asdict(after)
-    return {prop: [held[prop], wanted[prop]] for prop in wanted if held[prop] != wanted[prop]}
+    old, new = asdict(before), asdict(after)
+    return {name: [old[name], new[name]] for name in new if old[name] != new[name]}
 
 
 class ConfigurationPlanner:
@@ -24,16 +26,11 @@
 
     def plan(self, tables: Tables, tree: dict[str, Any]) -> dict[str, Any]:
         """Routes and services that would be added, removed and changed, with warnings."""
-        held, wanted = tables.configuration.tree, tree
-        before, after = _routes(held), _routes(wanted)
-        services_before, services_after = (
-            (held or {}).get("services", {}),
-            wanted.get("services", {}),
-        )
+        before, after = _routes(tables.configuration.tree), _routes(tree)
+        services_before = tables.configuration.services
+        services_after = tree.get("services", {})
         reached = {service for route in after.values() for service in route.services}
-        in_force = {
-            origin.service for origin in tables.origins.values() if origin.is_in_force
-        }
+        in_force = {origin.service for origin in tables.origins.values() if origin.is_in_force}
         return {
             "version": tables.configuration.version,
             "routes": {
@@ -69,8 +66,8 @@
 
     def plan(self, tables: Tables, zone: str) -> dict[str, Any]:
         """What would be left of each service, with warnings."""
-        emptied, _ = empty_zone(tables, {"zone": zone, "empty": True})
-        before, after = SnapshotMaker().make(tables), SnapshotMaker().make(emptied)
+        evacuated = apply_operation(tables, EvacuateZone(zone, is_evacuated=True)).tables
+        before, after = SnapshotMaker().make(tables), SnapshotMaker().make(evacuated)
         allowed = {
             name
             for name, service in tables.configuration.services.items()
@@ -78,19 +75,19 @@
         }
         services: dict[str, dict[str, Any]] = {
             name: {
-                "origins": [len(card.origins), len(after.services[name].origins)],
+                "origins": [len(service.origins), len(after.services[name].origins)],
                 "rate": [
-                    sum(origin.rate for origin in card.origins),
+                    sum(origin.rate for origin in service.origins),
                     sum(origin.rate for origin in after.services[name].origins),
                 ],
-                "allowance": card.rate if name in allowed else None,
+                "allowance": service.rate if name in allowed else None,
             }
-            for name, card in before.services.items()
+            for name, service in before.services.items()
         }
         edges = [
-            card
-            for card in tables.daemons.values()
-            if card.kind == "proxy" and card.role == "edge" and card.state is DaemonState.UP
+            daemon
+            for daemon in tables.daemons.values()
+            if daemon.kind == "proxy" and daemon.role == "edge" and daemon.state is DaemonState.UP
         ]
         return {
             "zone": zone,
@@ -100,14 +97,14 @@
             "voters there, which stay": sum(voter.zone == zone for voter in tables.voters),
             "warnings": [
                 f"service {name} would have no origin in force"
-                for name, held in services.items()
-                if held["origins"][0] and not held["origins"][1]
+                for name, left in services.items()
+                if left["origins"][0] and not left["origins"][1]
             ]
             + [
-                f"service {name}: what is left bears {held['rate'][1]:.0f} "
-                f"of an allowance of {held['allowance']:.0f}"
-                for name, held in services.items()
-                if held["allowance"] is not None and 0 < held["rate"][1] < held["allowance"]
+                f"service {name}: what is left bears {left['rate'][1]:.0f} "
+                f"of an allowance of {left['allowance']:.0f}"
+                for name, left in services.items()
+                if left["allowance"] is not None and 0 < left["rate"][1] < left["allowance"]
             ]
             + (["no shield would be left"] if before.shields and not after.shields else []),
         }
--- a/src/willowpost/wire/codec.py
+++ b/src/willowpost/wire/codec.py
@@ -1,8 +1,9 @@
-"""Converts messages to flatbuffers and back; both sides use the same field names."""
+"""Converts messages to flatbuffers and back; the schema's names stand here alone."""
 
 from dataclasses import MISSING, fields
 
 from willowpost.common.import_guard import unfound
+from willowpost.wire import messages
 from willowpost.wire.messages import BODIES, NESTED
 
 # Where numpy is installed, flatbuffers would return its number types, and loading it takes 20 MB.
@@ -11,12 +12,33 @@
 
     from willowpost.wire import generated
 
-KINDS = {kind.__name__: kind for kind in BODIES + NESTED}
-NUMBERS = {kind: getattr(generated.Body, kind.__name__) for kind in BODIES}
+# Messages whose table has another name in the schema.
+TABLE_NAMES = {
+    messages.CatchupRequest: "Ask",
+    messages.CatchupResponse: "Tell",
+    messages.ForwardCommand: "Forward",
+    messages.SubmitCommand: "Submit",
+    messages.CommandAccepted: "Accepted",
+    messages.QuorumReadRequest: "ReadAsk",
+    messages.QuorumReadResponse: "ReadTell",
+    messages.SnapshotChunk: "SnapshotPiece",
+    messages.QuotaShareRequest: "QuotaShareAsk",
+    messages.QuotaShareResponse: "QuotaShareTell",
+    messages.OriginHeartbeat: "Beat",
+    messages.AdmissionTokenRequest: "AdmissionTokenAsk",
+    messages.AdmissionTokenResponse: "AdmissionTokenTell",
+}
+
+
+def _table_name(kind: type) -> str:
+    return TABLE_NAMES.get(kind, kind.__name__)
+
+
+NUMBERS = {kind: getattr(generated.Body, _table_name(kind)) for kind in BODIES}
 FIELDS = {
     kind: tuple((field.name, field.default) for field in fields(kind)) for kind in BODIES + NESTED
 }
-TWINS = {kind: getattr(generated, kind.__name__ + "T") for kind in BODIES + NESTED}
+TWINS = {kind: getattr(generated, _table_name(kind) + "T") for kind in BODIES + NESTED}
 PLAIN = {twin: kind for kind, twin in TWINS.items()}
 
 
--- a/src/willowpost/wire/messages.py
+++ b/src/willowpost/wire/messages.py
@@ -87,14 +87,6 @@
     address: str = ""
 
 
-def members_of(core) -> tuple[Member, ...]:
-    """Return the voters of `Tables.core` as messages carry them."""
-    return tuple(
-        Member(member["identity"], member["name"], member["zone"], member["address"])
-        for member in core
-    )
-
-
 @dataclass(frozen=True, slots=True)
 class Hello:
     """Greets a process and says what the sender knows of the voters.
@@ -180,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchupResponse:
-    """Answers an `CatchupRequest`: decisions, a whole snapshot, a piece of one, or the body of a command.
+    """Answers a `CatchupRequest`: decisions, a snapshot, a chunk of one, or a command's body.
 
     `slot` is the slot after the last decision, or the sender's own slot with a piece, or the
     slot asked about with a command.
--- a/tests/configuration/test_configuration_checker.py
+++ b/tests/configuration/test_configuration_checker.py
@@ -9,8 +9,10 @@
 import unittest
 from importlib.resources import files
 
+from tests.support.entries import origin_entry
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.configuration.routes import RouteTable, routes_of
+from willowpost.state.entries import ActiveConfiguration
 from willowpost.state.tables import Tables
 from willowpost.toolbox.planner import ConfigurationPlanner, ZonePlanner
 
@@ -291,16 +293,10 @@
             )
 
     def test_plans_tell_what_would_change_and_warn(self):
-        origin = {
-            "service": "g",
-            "address": "1",
-            "zone": "a",
-            "rate": 10,
-            "cold_rate": 1,
-            "slot": 1,
-            "state": "warm",
-        }
-        tables = Tables(configuration={"version": 2, "tree": CHECKED}, origins={"o": origin})
+        tables = Tables(
+            configuration=ActiveConfiguration(2, CHECKED),
+            origins={"o": origin_entry(service="g", rate=10)},
+        )
         other = json.loads(json.dumps(CHECKED))
         other["branches"]["top"]["settings"]["tries"] = 4
         del other["branches"]["top"]["branches"]
@@ -318,17 +314,6 @@
         )
 
     def test_plans_follow_every_part_of_a_split_and_a_service_without_an_allowance(self):
-        def origin(service):
-            return {
-                "service": service,
-                "address": service,
-                "zone": "a",
-                "rate": 10,
-                "cold_rate": 1,
-                "slot": 1,
-                "state": "warm",
-            }
-
         tree = {
             "services": {"g": {}, "h": {"rate": 20}, "idle": {}},
             "branches": {"top": {"path": "/a", "settings": {"service": "g"}}},
@@ -343,9 +328,10 @@
             "kind": "once",
         }
         tables = Tables(
-            configuration={"version": 2, "tree": checked(tree).unwrap()},
+            configuration=ActiveConfiguration(2, checked(tree).unwrap()),
             origins={
-                name: {**origin(name[0]), "zone": name[1]} for name in ("ga", "gb", "ha", "hb")
+                name: origin_entry(service=name[0], address=name[0], zone=name[1], rate=10)
+                for name in ("ga", "gb", "ha", "hb")
             },
         )
         plan = ConfigurationPlanner().plan(tables, checked(split).unwrap())
--- a/tests/consensus/test_bootstrap.py
+++ b/tests/consensus/test_bootstrap.py
@@ -56,7 +56,7 @@
             self.assertEqual(
                 [["s0", "s1", "s2"]] * 5,
                 [
-                    sorted(member["name"] for member in node_state.tables.core)
+                    sorted(voter.name for voter in node_state.tables.voters)
                     for _, node_state in world.node_states()
                 ],
             )
@@ -74,7 +74,7 @@
             self.assertEqual(
                 [["s0"]] * 2,
                 [
-                    [member["name"] for member in node_state.tables.core]
+                    [voter.name for voter in node_state.tables.voters]
                     for _, node_state in world.node_states()
                 ],
             )
@@ -110,9 +110,9 @@
             self.assertTrue(
                 world.until(
                     lambda: any(
-                        member["name"] == name
+                        voter.name == name
                         for _, node_state in world.node_states()
-                        for member in node_state.tables.core
+                        for voter in node_state.tables.voters
                     ),
                     seconds(8),
                 ),
--- a/tests/consensus/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -4,6 +4,7 @@
 import unittest
 from heapq import heappop, heappush
 
+from tests.support.entries import member
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.consensus.replica.replica_state import ReplicaTuning
@@ -12,10 +13,12 @@
 from willowpost.shell.segment_format import segment_of
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
-from willowpost.state.snapshot_transfer import PIECE_BYTES
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.entries import ActiveConfiguration
+from willowpost.state.snapshot_transfer import CHUNK_BYTES
 from willowpost.state.tables import Tables, tables_from
 from willowpost.wire.codec import Codec
-from willowpost.wire.messages import StateUpdate, CatchupResponse
+from willowpost.wire.messages import CatchupResponse, StateUpdate
 
 ROUTES = 700
 FRAME_BYTES_MOST = 2 * 1024 * 1024  # what any message of catch-up stays below
@@ -63,7 +66,7 @@
         for _ in range(count):
             self.changes += 1
             token = self.world.ask(
-                "r", {"op": "configuration", "tree": tree(self.changes, routes), "source": "s"}
+                "r", ConfigurationProposal(tree=tree(self.changes, routes), source="s")
             )
             assert self.world.until(lambda token=token: token in self.world.replies, seconds(5))
 
@@ -93,7 +96,7 @@
             self.assertEqual(core.slot("s0"), core.slot("s1"))
             for seat, state in core.world.node_states():
                 now = core.world.now(seat)
-                state.outgoing_snapshot.piece(state.tables, -1, state.log_floor, None, now)
+                state.outgoing_snapshot.chunk(state.tables, -1, state.log_floor, None, now)
         core.world.weather.least = 20 * MILLI  # so that a transfer can be stopped half-way
         core.world.start("s2")
         return core
@@ -103,7 +106,7 @@
         for lose_disk in (False, True):
             core = self.away(50, pace, lose_disk)
             self.assertIsNotNone(core.caught_up("s2"), lose_disk)
-            self.assertGreater(core.sizes.largest, PIECE_BYTES)
+            self.assertGreater(core.sizes.largest, CHUNK_BYTES)
             self.assertLess(core.sizes.largest, FRAME_BYTES_MOST)
             core.world.settle(3)
 
@@ -193,9 +196,9 @@
 
     def __init__(self, delay):
         self.delay, self.heap, self.sent = delay, [], 0
-        core = ({"identity": "A", "name": "A", "zone": "a", "address": "A:1"},)
-        configuration = {"version": 1, "tree": tree(1)}
-        whole = Tables(slot=90, epoch=1, core=core, configuration=configuration)
+        voters = (member("A", address="A:1"),)
+        configuration = ActiveConfiguration(1, tree(1))
+        whole = Tables(slot=90, epoch=1, voters=voters, configuration=configuration)
         # "A:1" is a follower here too: whom it asks makes no difference
         self.nodes = {
             "A:1": NodeState(self.descriptor("A"), whole, fresh_as_of=0),
@@ -205,7 +208,7 @@
             address: Follower(node, [], tree=False) for address, node in self.nodes.items()
         }
 
-    def card(self, name):
+    def descriptor(self, name):
         return DaemonDescriptor(name, "registry", "core", name, "a", f"{name}:1", "", 7)
 
     def run(self, span):
@@ -232,10 +235,10 @@
         for delay in (MILLI, 200 * MILLI, 400 * MILLI):
             wire = Wire(delay)
             size = len(wire.nodes["A:1"].tables.text())
-            self.assertGreater(size, 2 * PIECE_BYTES)
+            self.assertGreater(size, 2 * CHUNK_BYTES)
             self.assertIsNotNone(wire.run(10 * SECOND), delay)
             self.assertEqual(90, wire.nodes["r:1"].tables.slot)
-            # beyond STALLED_AFTER polls ask for pieces again that are under way
+            # beyond STALLED_AFTER_US polls ask for pieces again that are under way
             most = 1.1 if delay < 200 * MILLI else 4
             self.assertLess(wire.sent, most * size, delay)
 
@@ -248,7 +251,7 @@
         update = StateUpdate(nonce, 90, 0, True, snapshot=text)
         plan = follower.step(Received("A:1", update), MILLI)
         self.assertEqual((0, None), (wire.nodes["r:1"].tables.slot, wire.nodes["r:1"].fresh_as_of))
-        self.assertIn("unknown format", plan.notes[0][1])
+        self.assertIn("unknown format", plan.log_entries[0][1])
 
 
 class Bounded(unittest.TestCase):
--- a/tests/consensus/test_core_growth.py
+++ b/tests/consensus/test_core_growth.py
@@ -9,6 +9,7 @@
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import seconds
+from willowpost.state.operations import EvacuateZone
 from willowpost.store.voter_repair import VoterRepair
 
 GROWING_ZONES = ("a", "b", "c", "a", "b")
@@ -21,9 +22,9 @@
 
 MOMENTS = {
     "a first one offered itself": lambda world: any(
-        "voter_offer" in card
+        daemon.voter_offer is not None
         for _, node_state in world.node_states()
-        for card in node_state.tables.daemons.values()
+        for daemon in node_state.tables.daemons.values()
     ),
     "one has decided it": lambda world: epochs(world).count(2) >= 1,
     "two have": lambda world: epochs(world).count(2) >= 2,
@@ -70,13 +71,13 @@
             raise AssertionError("the moment never came")
         tokens = []
         for _ in range(8):
-            tokens.append(world.ask("r0", {"op": "zone", "zone": "z", "empty": True}))
+            tokens.append(world.ask("r0", EvacuateZone("z", is_evacuated=True)))
             world.run(seconds(0.5))
         world.run(seconds(1.5))
         answered = [token for token in tokens if token in world.replies]
         world.settle(8)
         return len(answered), sorted(
-            {len(node_state.tables.core) for _, node_state in world.node_states()}
+            {len(node_state.tables.voters) for _, node_state in world.node_states()}
         )
 
 
@@ -105,7 +106,7 @@
             world.run(seconds(4))
             for victim in ("s0", "s1"):
                 world.crash(victim)
-            token = world.ask("r0", {"op": "zone", "zone": "z", "empty": True})
+            token = world.ask("r0", EvacuateZone("z", is_evacuated=True))
             world.run(seconds(4))
             self.assertNotIn(token, world.replies)
 
@@ -115,7 +116,7 @@
         )
         world.run(seconds(8))
         self.assertEqual(
-            {3}, {len(node_state.tables.core) for _, node_state in world.node_states()}
+            {3}, {len(node_state.tables.voters) for _, node_state in world.node_states()}
         )
 
     def test_a_learner_that_is_behind_does_not_offer_itself(self):
@@ -124,12 +125,12 @@
         world.cut(["s4"], ["s1", "s2"])
         world.run(seconds(6))
         self.assertEqual(
-            {3}, {len(node_state.tables.core) for _, node_state in world.node_states()}
+            {3}, {len(node_state.tables.voters) for _, node_state in world.node_states()}
         )
         world.heal()
         world.run(seconds(6))
         self.assertEqual(
-            {5}, {len(node_state.tables.core) for _, node_state in world.node_states()}
+            {5}, {len(node_state.tables.voters) for _, node_state in world.node_states()}
         )
 
 
--- a/tests/consensus/test_epoch_barrier.py
+++ b/tests/consensus/test_epoch_barrier.py
@@ -1,44 +1,45 @@
 """What of a former epoch, or of a replaced identity, counts in the epoch in force: nothing."""
 
 import unittest
-from dataclasses import asdict, replace
+from dataclasses import replace
 
+from tests.support.entries import daemon_entry
 from willowpost.common.events import Received, Tick
 from willowpost.consensus.replica.barrier import is_passed, quorum_index
 from willowpost.consensus.replica.records import ballot_state_record, identity_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.replica.voting import Voting
 from willowpost.registry.removal import safe_to_remove
-from willowpost.state.apply.voters import (
-    add_voters,
-    epoch_opened,
-    replace_voter,
-    seat_for,
-    successor_of,
-)
+from willowpost.state.apply import apply_operation
+from willowpost.state.apply.voters import replaceable_by, successor_of
+from willowpost.state.entries import PreviousVoters
+from willowpost.state.lifecycle import DaemonState
+from willowpost.state.operations import OfferVoter, OpenEpoch, ReplaceVoter
+from willowpost.state.results import Accepted
 from willowpost.state.tables import Tables
 from willowpost.wire.messages import BallotState, Command, Member
 
 FIRST = 10  # the first slot of epoch 2, in which D has replaced C
 
 
-def member(name, zone=None):
-    return asdict(Member(name, name, zone or name.lower(), name))
+def member(name):
+    return Member(name, name, name.lower(), name)
 
 
-def store(name, state="up", **more):
-    return {"id": name, "kind": "store", "state": state, "incarnation": 1, **member(name), **more}
+def store(name, state=DaemonState.UP, zone=None):
+    return daemon_entry(name, zone=zone or name.lower(), state=state)
 
 
-FORMER = tuple(member(name) for name in "ABC")
-CORE = tuple(member(name) for name in "ABD")
+PREVIOUS = tuple(member(name) for name in "ABC")
+VOTERS = tuple(member(name) for name in "ABD")
 TABLES = Tables(
     slot=FIRST,
     epoch=2,
-    core=CORE,
-    former={"slot": FIRST - 1, "core": list(FORMER)},
+    voters=VOTERS,
+    previous_voters=PreviousVoters(FIRST - 1, PREVIOUS),
     daemons={name: store(name) for name in "ABD"},
 )
+BEFORE = replace(TABLES, slot=FIRST - 1, epoch=1, voters=PREVIOUS, previous_voters=None)
 
 
 def replica(tables=TABLES):
@@ -114,18 +115,17 @@
         self.assertEqual({}, node_state.heard)
 
     def test_early_ballot_states_are_taken_only_in_their_epoch_and_of_members(self):
-        before = replace(TABLES, slot=FIRST - 1, epoch=1, core=FORMER, former={})
         node_state = self.heard(
             BallotState("B", 1, FIRST, "old"),
             BallotState("C", 2, FIRST, "late"),
             BallotState("D", 2, FIRST, "new"),
-            tables=before,
+            tables=BEFORE,
         )
         node_state.take(TABLES)
         self.assertEqual({"D": "new"}, {name: b.proposal for name, b in node_state.heard.items()})
 
     def test_the_own_ballot_state_ends_with_its_slot(self):
-        node_state = replica(replace(TABLES, slot=FIRST - 1, epoch=1, core=FORMER, former={}))
+        node_state = replica(BEFORE)
         node_state.own = BallotState("A", 1, FIRST - 1, "x", None, (1,), (1,), agreed="x")
         node_state.take(TABLES)
         self.assertEqual((None, {}), (node_state.own, node_state.heard))
@@ -153,64 +153,69 @@
     """What the log refuses, whoever asks and however late."""
 
     def setUp(self):
-        core = tuple(member(name) for name in "ABC")
+        voters = tuple(member(name) for name in "ABC")
         daemons = {name: store(name) for name in "ABCDE"}
-        self.tables = Tables(slot=9, epoch=1, core=core, daemons=daemons)
+        self.tables = Tables(slot=9, epoch=1, voters=voters, daemons=daemons)
 
-    def with_card(self, name, **card):
-        daemons = {**self.tables.daemons, name: {**self.tables.daemons[name], **card}}
+    def with_daemon(self, name, **attributes):
+        daemons = {**self.tables.daemons, name: replace(self.tables.daemons[name], **attributes)}
         return replace(self.tables, daemons=daemons)
 
     def refused(self, tables, old, new):
-        return replace_voter(tables, {"old": old, "new": new})[1].get("why")
+        result = apply_operation(tables, ReplaceVoter(old, new)).result
+        return None if result.is_accepted else result.reason
 
     def test_only_a_lost_a_leaving_or_a_wiped_voter_is_replaced(self):
         learner = member("D")
         self.assertIn("neither is lost", self.refused(self.tables, "C", learner))
-        for state in ("lost", "draining"):
-            self.assertIsNone(self.refused(self.with_card("C", state=state), "C", learner))
-        self.assertIsNone(self.refused(self.tables, "C", {**learner, "address": "C"}))
+        for state in (DaemonState.LOST, DaemonState.DRAINING):
+            self.assertIsNone(self.refused(self.with_daemon("C", state=state), "C", learner))
+        self.assertIsNone(self.refused(self.tables, "C", replace(learner, address="C")))
 
     def test_two_live_machines_of_one_name_do_not_take_the_seat_from_each_other(self):
-        namesake = {**member("D"), "name": "C"}
+        namesake = replace(member("D"), name="C")
         self.assertIn("neither is lost", self.refused(self.tables, "C", namesake))
-        cards = {name: card for name, card in self.tables.daemons.items() if name != "C"}
-        self.assertIsNone(self.refused(replace(self.tables, daemons=cards), "C", namesake))
+        others = {name: entry for name, entry in self.tables.daemons.items() if name != "C"}
+        self.assertIsNone(self.refused(replace(self.tables, daemons=others), "C", namesake))
 
     def test_a_learner_that_is_not_up_by_the_log_is_refused(self):
-        for card in ({"state": "lost"}, {"state": "draining"}, {"kind": "registry"}):
-            tables = self.with_card("D", **card)
+        for attributes in (
+            {"state": DaemonState.LOST},
+            {"state": DaemonState.DRAINING},
+            {"kind": "registry"},
+        ):
+            tables = self.with_daemon("D", **attributes)
             self.assertEqual("the learner is not up", self.refused(tables, "C", member("D")))
         self.assertEqual("the learner is not up", self.refused(self.tables, "C", member("Z")))
 
     def test_the_voters_change_once_in_a_slot(self):
-        tables = self.with_card("C", state="lost")
-        tables, answer = replace_voter(tables, {"old": "C", "new": member("D")})
-        self.assertTrue(answer["ok"])
-        daemons = {**tables.daemons, "B": store("B", "lost")}
+        tables = self.with_daemon("C", state=DaemonState.LOST)
+        tables, result = apply_operation(tables, ReplaceVoter("C", member("D")))
+        self.assertTrue(result.is_accepted)
+        daemons = {**tables.daemons, "B": store("B", DaemonState.LOST)}
         lost_again = replace(tables, daemons=daemons)
         self.assertEqual(
             "the voters change once in a slot", self.refused(lost_again, "B", member("E"))
         )
         self.assertIsNone(self.refused(replace(lost_again, slot=10), "B", member("E")))
-        offer = {"op": "add_voters", "incarnation": 1, "most": 5}
         held = replace(tables, daemons={**tables.daemons, "F": store("F")})
         for learner in "EF":
-            held, answer = add_voters(held, {**offer, "learner": learner})
-        self.assertFalse(answer["ok"])
+            offer = OfferVoter(learner, incarnation=1, max_voters=5)
+            held, result = apply_operation(held, offer)
+        self.assertFalse(result.is_accepted)
 
     def test_the_own_seat_comes_first_then_the_lost_then_the_leaving(self):
-        tables = self.with_card("A", state="draining")
-        self.assertEqual("A", seat_for(tables, member("D"))["identity"])
-        tables = replace(tables, daemons={**tables.daemons, "B": store("B", "lost")})
-        self.assertEqual("B", seat_for(tables, member("D"))["identity"])
-        back = {**member("D"), "address": "C"}
-        self.assertEqual("C", seat_for(tables, back)["identity"])
-        self.assertIsNone(seat_for(self.tables, member("D")))
+        tables = self.with_daemon("A", state=DaemonState.DRAINING)
+        self.assertEqual("A", replaceable_by(tables, member("D")).identity)
+        tables = replace(tables, daemons={**tables.daemons, "B": store("B", DaemonState.LOST)})
+        self.assertEqual("B", replaceable_by(tables, member("D")).identity)
+        back = replace(member("D"), address="C")
+        self.assertEqual("C", replaceable_by(tables, back).identity)
+        self.assertIsNone(replaceable_by(self.tables, member("D")))
 
     def test_a_successor_is_a_learner_that_is_up_and_fits_the_zones(self):
         self.assertEqual("D", successor_of(self.tables, "C"))
-        self.assertEqual("E", successor_of(self.with_card("D", state="lost"), "C"))
+        self.assertEqual("E", successor_of(self.with_daemon("D", state=DaemonState.LOST), "C"))
         self.assertIsNone(successor_of(self.tables, "Z"))
         crowded = {name: store(name, zone="a") for name in "DE"}
         tables = replace(self.tables, daemons={**self.tables.daemons, **crowded})
@@ -218,7 +223,7 @@
         self.assertEqual("D", successor_of(tables, "A"))
 
     def test_epoch_opened_changes_nothing_but_the_slot(self):
-        self.assertEqual((TABLES, {"ok": True}), epoch_opened(TABLES, {"epoch": 2}))
+        self.assertEqual((TABLES, Accepted()), apply_operation(TABLES, OpenEpoch(2)))
 
 
 class SafeToRemove(unittest.TestCase):
@@ -233,9 +238,9 @@
         self.assertIn("out of touch", self.reasons(fresh=False, **settled)[0])
         self.assertIn("not finished", self.reasons()[0])
         self.assertIn("not founded", safe_to_remove(Tables(), True).reasons[0])
-        for state in ("lost", "draining"):
+        for state in (DaemonState.LOST, DaemonState.DRAINING):
             daemons = {**TABLES.daemons, "B": store("B", state)}
-            self.assertEqual((f"voter B is {state}",), self.reasons(daemons=daemons, **settled))
+            self.assertEqual((f"voter B is {state.value}",), self.reasons(daemons=daemons, **settled))
         self.assertEqual(3, len(self.reasons(daemons={}, **settled)))
 
 
--- a/tests/consensus/test_voter_replacement.py
+++ b/tests/consensus/test_voter_replacement.py
@@ -12,7 +12,7 @@
 from willowpost.consensus.replica.barrier import (
     FormerVoter,
     first_slot,
-    former_identities,
+    previous_identities,
     quorum_index,
 )
 from willowpost.consensus.replica.missed_change import MissedChange
@@ -23,7 +23,7 @@
 
 def only_former(node_state):
     """The barrier as it was: n - f of the former voters, the one that was put out among them."""
-    held = quorum_index(former_identities(node_state.tables), node_state.synced_indexes)
+    held = quorum_index(previous_identities(node_state.tables), node_state.synced_indexes)
     return held >= first_slot(node_state.tables)
 
 
--- a/tests/drill/test_capacity.py
+++ b/tests/drill/test_capacity.py
@@ -53,7 +53,7 @@
             card.kind: [
                 seat.node.node_state.tables.slot
                 for seat in fleet.seats.values()
-                if seat.node.node_state.tables.daemons[card.id]["kind"] == card.kind
+                if seat.node.node_state.tables.daemons[card.id].kind == card.kind
             ]
             for card in fleet.cards.all
         }
@@ -67,7 +67,7 @@
             self.assertGreater(seat.node.node_state.tables.slot - began, asked - 10, seat.address)
             # nobody joined, left or was suspected
             self.assertIs(fleet.tables.daemons, seat.node.node_state.tables.daemons)
-        self.assertGreater(figures["owner"].kinds["out QuotaShareTell"], 0)
+        self.assertGreater(figures["owner"].kinds["out QuotaShareResponse"], 0)
 
     def test_what_is_counted_grows_as_the_fleet_does(self):
         """Twice the daemons: twice the beats sent, and nothing more for a proxy to hear.
@@ -80,7 +80,7 @@
         purges = measured(replace(SMALL, purges=40.0))[1]
 
         def beats(figures, role, side):
-            return figures[role].kinds[f"{side} Beat"]
+            return figures[role].kinds[f"{side} OriginHeartbeat"]
 
         self.assertAlmostEqual(
             beats(daemons, "registry", "out") / beats(base, "registry", "out"), 54 / 24, delta=0.1
@@ -101,9 +101,9 @@
         whole, sampled = measured(SMALL, whole=True)[1], self.figures
         for role in ("store", "registry", "proxy", "owner"):
             for kind in (
-                "in Beat",
+                "in OriginHeartbeat",
                 "in StateUpdate",
-                "in QuotaShareAsk",
+                "in QuotaShareRequest",
                 "in Poll",
                 "out StateUpdate",
             ):
--- a/tests/model/test_model_checker.py
+++ b/tests/model/test_model_checker.py
@@ -26,6 +26,7 @@
 from willowpost.model.search import BreadthFirstSearch, Limits
 from willowpost.model.system import System
 from willowpost.model.walks import RandomWalks
+from willowpost.state.entries import ActiveConfiguration
 from willowpost.state.tables import Tables
 
 # protection: (the rule that breaks without it, the length of a shortest trace)
@@ -194,8 +195,8 @@
             record_decisions(history, [{"k": "decision", "slot": 0, "key": ""}], "s1")
 
     def test_two_contents_of_one_version_are_told(self):
-        one = Tables(configuration={"version": 2, "tree": {"host": "a"}})
-        two = Tables(configuration={"version": 2, "tree": {"host": "b"}})
+        one = Tables(configuration=ActiveConfiguration(2, {"host": "a"}))
+        two = Tables(configuration=ActiveConfiguration(2, {"host": "b"}))
         history = record_configuration(History(), one, "s0")
         self.assertEqual(history, record_configuration(history, one, "s1"))
         with self.assertRaisesRegex(Violation, ONE_CONTENT):
--- a/tests/node/test_follower.py
+++ b/tests/node/test_follower.py
@@ -3,29 +3,23 @@
 import unittest
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SettingsChanged, Received, Tick
+from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.node.follower import WITHOUT_SOURCE_AFTER, Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.state.tables import Tables
 from willowpost.wire.messages import Hello, Member, Poll, StateUpdate
 
-CARD = DaemonDescriptor("r/registry", "registry", "core", "r", "a", "r:1", "r:2", 7)
+DESCRIPTOR = DaemonDescriptor("r/registry", "registry", "core", "r", "a", "r:1", "r:2", 7)
 
 
-def core(*names):
-    return tuple(
-        {"identity": name, "name": name, "zone": "a", "address": f"{name}:1"} for name in names
-    )
-
-
-def known(*names):
+def members(*names):
     return tuple(Member(name, name, "a", f"{name}:1") for name in names)
 
 
 class WithoutSource(unittest.TestCase):
     def setUp(self):
         self.node_state = NodeState(
-            CARD, Tables(slot=50, epoch=1, core=core("A", "B", "C")), fresh_as_of=0
+            DESCRIPTOR, Tables(slot=50, epoch=1, voters=members("A", "B", "C")), fresh_as_of=0
         )
         self.follower = Follower(self.node_state, ["x:1"], tree=False)
 
@@ -50,12 +44,12 @@
         self.follower.step(SettingsChanged(("y:1",)), 0)
         self.assertEqual({"y:1"}, self.greeted(self.ticks(4 * SECOND)))
         self.follower.step(
-            Received("y:1", Hello(answer=True, bootstrapped=True, known=known("C", "D", "E"))),
+            Received("y:1", Hello(answer=True, bootstrapped=True, known=members("C", "D", "E"))),
             7 * SECOND,
         )
         polls = self.polled(self.ticks(7 * SECOND))
         self.assertEqual({"A:1", "B:1", "C:1", "D:1", "E:1"}, polls)
-        newer = Tables(slot=90, epoch=3, core=core("C", "D", "E"))
+        newer = Tables(slot=90, epoch=3, voters=members("C", "D", "E"))
         self.follower.step(
             Received(
                 "D:1", StateUpdate(self.follower.nonces.last, 90, 0, True, snapshot=newer.text())
@@ -68,9 +62,9 @@
     def test_it_never_goes_back_whomever_it_asks(self):
         self.ticks(4 * SECOND)
         self.follower.step(
-            Received("x:1", Hello(answer=True, bootstrapped=True, known=known("D"))), 7 * SECOND
+            Received("x:1", Hello(answer=True, bootstrapped=True, known=members("D"))), 7 * SECOND
         )
-        older = Tables(slot=40, epoch=9, core=core("D"))
+        older = Tables(slot=40, epoch=9, voters=members("D"))
         self.follower.step(
             Received(
                 "D:1", StateUpdate(self.follower.nonces.last, 40, 0, True, snapshot=older.text())
@@ -81,7 +75,7 @@
 
     def test_who_has_state_update_heeds_no_greeting(self):
         self.follower.step(
-            Received("x:1", Hello(answer=True, bootstrapped=True, known=known("D"))), SECOND
+            Received("x:1", Hello(answer=True, bootstrapped=True, known=members("D"))), SECOND
         )
         self.assertEqual((), self.node_state.seed_cores)
 
--- a/tests/node/test_graceful_shutdown.py
+++ b/tests/node/test_graceful_shutdown.py
@@ -2,28 +2,35 @@
 
 import unittest
 
+from tests.support.entries import daemon_entry
 from willowpost.common.clock import MILLI
 from willowpost.common.events import Tick
 from willowpost.common.plan import Plan
-from willowpost.node.graceful_shutdown import ShutdownRequested, GracefulShutdown, ShutdownTimeouts, Stage
+from willowpost.node.graceful_shutdown import (
+    GracefulShutdown,
+    ShutdownRequested,
+    ShutdownTimeouts,
+    Stage,
+)
 from willowpost.node.node_state import DaemonDescriptor, NodeState
+from willowpost.state.operations import DrainDaemon, RemoveDaemon
 from willowpost.state.tables import Tables
 
-CARD = DaemonDescriptor("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
+DESCRIPTOR = DaemonDescriptor("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
 
 
 class Asker:
     def __init__(self):
-        self.ops = []
+        self.operations = []
 
     def step(self, event, now):
-        self.ops += [op["op"] for op in event.ops]
+        self.operations += event.operations
         return Plan()
 
 
 class Stages(unittest.TestCase):
     def setUp(self):
-        self.node_state = NodeState(CARD, Tables(daemons={CARD.id: {"incarnation": 7}}))
+        self.node_state = NodeState(DESCRIPTOR, Tables(daemons={DESCRIPTOR.id: daemon_entry(DESCRIPTOR.id, incarnation=7)}))
         self.command_client = Asker()
         self.leaver = GracefulShutdown(
             self.node_state,
@@ -48,7 +55,10 @@
             (2500, 2600, 3200),
             (self.until(Stage.FINISHING), self.until(Stage.LEAVING), self.until(Stage.GONE)),
         )
-        self.assertEqual(["drain", "leave"], self.command_client.ops)
+        self.assertEqual(
+            [DrainDaemon(DESCRIPTOR.id, 7), RemoveDaemon(DESCRIPTOR.id, 7)],
+            self.command_client.operations,
+        )
 
     def test_whoever_has_left_the_log_need_not_wait(self):
         self.until(Stage.LEAVING)
--- a/tests/node/test_request_number_reuse.py
+++ b/tests/node/test_request_number_reuse.py
@@ -2,6 +2,7 @@
 
 import unittest
 
+from tests.support.entries import member
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import Follower
@@ -12,14 +13,12 @@
 from willowpost.state.tables import Tables
 from willowpost.wire.messages import Poll, QuorumReadRequest, QuorumReadResponse, StateUpdate
 
-CORE = tuple(
-    {"identity": name, "name": name, "zone": "a", "address": f"{name}:1"} for name in "ABC"
-)
+VOTERS = tuple(member(name, address=f"{name}:1") for name in "ABC")
 
 
 def follower_of(incarnation, age=None):
-    card = DaemonDescriptor("r/registry", "registry", "core", "r", "a", "r:1", "r:2", incarnation)
-    node_state = NodeState(card, Tables(slot=5, epoch=1, core=CORE), fresh_as_of=age)
+    descriptor = DaemonDescriptor("r/registry", "registry", "core", "r", "a", "r:1", "r:2", incarnation)
+    node_state = NodeState(descriptor, Tables(slot=5, epoch=1, voters=VOTERS), fresh_as_of=age)
     follower = Follower(node_state, [], tree=False)
     return node_state, [follower, QuorumRead(node_state, follower)]
 
@@ -75,8 +74,8 @@
         for _ in range(40):
             world.run(seconds(0.05))
             for nonce in former:
-                for member in node_state.tables.core:
-                    world.give("s0", Received("s1", QuorumReadResponse(nonce, member["identity"], 0)))
+                for voter in node_state.tables.voters:
+                    world.give("s0", Received("s1", QuorumReadResponse(nonce, voter.identity, 0)))
         self.assertTrue(former)
         self.assertIsNone(node_state.fresh_as_of)
 
--- a/tests/node/test_stale_incarnation_answers.py
+++ b/tests/node/test_stale_incarnation_answers.py
@@ -3,47 +3,47 @@
 import unittest
 from itertools import pairwise
 
+from tests.support.entries import daemon_entry
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SubmitOperations, Received, Tick
+from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.nonce import NonceSequence
+from willowpost.consensus.replica.records import founding_record
 from willowpost.node.command_client import CommandClient
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.node.follower import Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.failure_detector import FailureDetector
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenTaker, AdmissionTokenWanted
 from willowpost.proxy.admission.quota_shares import QuotaShareTaker
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import RoutingSnapshot, ServiceCard
+from willowpost.state.entries import Ownership
+from willowpost.state.operations import EndOrigin
 from willowpost.state.tables import Tables
 from willowpost.store.node import StoreNode
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import (
-    CommandAccepted,
     AdmissionTokenRequest,
     AdmissionTokenResponse,
+    CommandAccepted,
     Member,
     Ping,
     Poll,
     Pong,
-    QuotaShareRequest,
-    QuotaShareResponse,
     QuorumReadRequest,
     QuorumReadResponse,
+    QuotaShareRequest,
+    QuotaShareResponse,
     StateUpdate,
     SubmitCommand,
 )
 
 VOTERS = tuple(Member(name, name, name, f"{name}:1") for name in ("A", "B", "C"))
-CORE = tuple(
-    {"identity": held.identity, "name": held.name, "zone": held.zone, "address": held.address}
-    for held in VOTERS
-)
-FOUND = [{"k": "found", "core": list(CORE)}]
+FOUND = [founding_record(VOTERS)]
 FIRST, SECOND_INCARNATION = 1_000_000, 9_000_000
 
 
-def card(incarnation):
+def descriptor(incarnation):
     return DaemonDescriptor("p/proxy", "proxy", "edge", "p", "a", "p:1", "p:2", incarnation)
 
 
@@ -51,11 +51,11 @@
     tables = Tables(
         slot=5,
         epoch=1,
-        core=CORE,
-        daemons={"o": {"kind": "proxy", "zone": "a", "address": "o:1", "state": "up"}},
-        fences={"quota_share/g": {"owner": "o", "fence": 1}},
+        voters=VOTERS,
+        daemons={"o": daemon_entry("o", kind="proxy", address="o:1")},
+        ownerships={"quota_share/g": Ownership("o", 1)},
     )
-    node_state = ProxyState(card(incarnation), tables)
+    node_state = ProxyState(descriptor(incarnation), tables)
     if service is not None:
         node_state.snapshot = RoutingSnapshot(5, 1, services={"g": service})
     return node_state
@@ -96,7 +96,7 @@
 
 class FollowerReads(unittest.TestCase):
     def polled(self, incarnation):
-        node_state = NodeState(card(incarnation), Tables(slot=5, epoch=1, core=CORE))
+        node_state = NodeState(descriptor(incarnation), Tables(slot=5, epoch=1, voters=VOTERS))
         follower = Follower(node_state, ["x:1"], tree=False)
         return follower, asked(follower.step(Tick(), SECOND).sends, Poll)
 
@@ -107,7 +107,7 @@
         self.assertIsNone(follower.node_state.fresh_as_of)
 
     def read(self, incarnation):
-        node_state = NodeState(card(incarnation), Tables(slot=5, epoch=1, core=CORE))
+        node_state = NodeState(descriptor(incarnation), Tables(slot=5, epoch=1, voters=VOTERS))
         reads = QuorumRead(node_state, Follower(node_state, ["x:1"], tree=False))
         return reads, asked(reads.step(Tick(), SECOND).sends, QuorumReadRequest)
 
@@ -159,11 +159,11 @@
                 slot=5,
                 epoch=1,
                 daemons={
-                    name: {"zone": name, "address": f"{name}:1", "state": "up", "incarnation": 3}
+                    name: daemon_entry(name, zone=name, address=f"{name}:1", incarnation=3)
                     for name in ("p/proxy", "o")
                 },
             )
-            watch = FailureDetector(card(incarnation), lambda: tables, None)
+            watch = FailureDetector(descriptor(incarnation), lambda: tables, None)
             return watch, asked(watch.step(Tick(), SECOND).sends, Ping)
 
         _, old = pinged(FIRST)
@@ -177,7 +177,7 @@
 class Commands(unittest.TestCase):
     def submitted(self, incarnation):
         client = CommandClient("p/proxy", incarnation, lambda: ["A:1"], lambda: incarnation)
-        plan = client.step(SubmitOperations("token", ({"op": "x"},)), 0)
+        plan = client.step(SubmitOperations("token", (EndOrigin("x"),)), 0)
         plan.join(client.step(Tick(), SECOND))
         return client, asked(plan.sends, SubmitCommand).command
 
--- a/tests/platform_adapter/test_configuration_translation.py
+++ b/tests/platform_adapter/test_configuration_translation.py
@@ -196,7 +196,7 @@
             self.path,
             SettingsReader("proxy"),
             place,
-            type("Logs", (), {"say": lambda self, *a, **k: said.append(a)})(),
+            type("Logger", (), {"log": lambda self, *a, **k: said.append(a)})(),
         )
         self.write(
             SETTINGS.replace("10.1.0.39", "10.1.0.77").replace('zone: "north"', 'zone: "south"')
@@ -529,7 +529,7 @@
             ("POST", "/v1/zones/*/restore"),
             ("POST", "/v1/purges"),
         ]
-        said = type("Logs", (), {"say": lambda self, *a, **k: None})()
+        said = type("Logger", (), {"log": lambda self, *a, **k: None})()
         self.words = ControlWords(
             [
                 (method, path, 0, lambda call, path=path: self._hear(path, call))
--- a/tests/proxy/admission/test_owner_restart_fencing.py
+++ b/tests/proxy/admission/test_owner_restart_fencing.py
@@ -4,6 +4,7 @@
 from types import SimpleNamespace
 from unittest.mock import patch
 
+from tests.support.entries import daemon_entry
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import Follower
@@ -12,9 +13,17 @@
 from willowpost.proxy.admission.quota_shares import FENCE_WAIT, QuotaShareOwner
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import ServiceCard
-from willowpost.state.apply.operators import own
+from willowpost.state.apply import apply_operation
+from willowpost.state.entries import Ownership
+from willowpost.state.operations import AcquireOwnership
+from willowpost.state.results import OwnershipAcquired
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import AdmissionTokenRequest, AdmissionTokenResponse, Poll, QuotaShareRequest
+from willowpost.wire.messages import (
+    AdmissionTokenRequest,
+    AdmissionTokenResponse,
+    Poll,
+    QuotaShareRequest,
+)
 
 FENCE = 3
 CLIENT = SimpleNamespace()  # a command client that nobody may need here
@@ -22,14 +31,14 @@
 
 def owner(rate=1000.0):
     """A life that the log named owner of the service's quota before it was restarted."""
-    card = DaemonDescriptor("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
+    descriptor = DaemonDescriptor("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
     tables = Tables(
         slot=9,
         epoch=1,
-        daemons={"p/proxy": {"id": "p/proxy", "kind": "proxy", "state": "up", "incarnation": 7}},
-        fences={"quota_share/g": {"owner": "p/proxy", "fence": FENCE}},
+        daemons={"p/proxy": daemon_entry("p/proxy", kind="proxy", incarnation=7)},
+        ownerships={"quota_share/g": Ownership("p/proxy", FENCE)},
     )
-    node_state = ProxyState(card, tables)
+    node_state = ProxyState(descriptor, tables)
     service = ServiceCard(rate, 10, ("p/proxy",), {"p/proxy": 1.0}, ())
     node_state.snapshot = SimpleNamespace(services={"g": service}, origins={})
     return node_state, QuotaShareOwner(node_state, CLIENT)
@@ -91,8 +100,8 @@
 class OtherDuties(unittest.TestCase):
     def test_a_source_of_updates_is_not_fresh_before_a_read_of_its_own(self):
         """Restarted with old tables, it tells them, but lends nobody a lease."""
-        card = DaemonDescriptor("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
-        node_state = NodeState(card, Tables(slot=9, epoch=1))
+        descriptor = DaemonDescriptor("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
+        node_state = NodeState(descriptor, Tables(slot=9, epoch=1))
         source = Follower(node_state, [])
         told = []
         for now in (SECOND, 2 * SECOND):
@@ -102,11 +111,14 @@
         self.assertEqual([(False, 0), (True, SECOND)], told)
 
     def test_a_claim_under_a_fence_that_moved_on_is_refused(self):
-        tables = Tables(slot=9, epoch=1, fences={"k": {"owner": "a", "fence": FENCE}})
-        after, answer = own(tables, {"op": "own", "key": "k", "owner": "b", "fence": FENCE - 1})
-        self.assertEqual((tables, False), (after, answer["ok"]))
-        after, answer = own(tables, {"op": "own", "key": "k", "owner": "b", "fence": FENCE})
-        self.assertEqual(("b", FENCE + 1), (after.fences["k"]["owner"], answer["fence"]))
+        tables = Tables(slot=9, epoch=1, ownerships={"k": Ownership("a", FENCE)})
+        after, result = apply_operation(tables, AcquireOwnership("k", "b", FENCE - 1))
+        self.assertEqual((tables, False), (after, result.is_accepted))
+        after, result = apply_operation(tables, AcquireOwnership("k", "b", FENCE))
+        self.assertEqual(
+            (Ownership("b", FENCE + 1), OwnershipAcquired(FENCE + 1)),
+            (after.ownerships["k"], result),
+        )
 
 
 if __name__ == "__main__":
--- a/tests/proxy/cache/test_purge_by_tag.py
+++ b/tests/proxy/cache/test_purge_by_tag.py
@@ -9,6 +9,7 @@
 from unittest.mock import patch
 
 from willowpost.proxy.cache.store import CacheStore, Entry
+from willowpost.state.entries import Purge
 from willowpost.state.tables import Tables
 
 
@@ -18,9 +19,7 @@
 
 def purges(*made):
     """(slot, kind, path) each."""
-    return tuple(
-        {"slot": slot, "host": "", "kind": kind, "path": path} for slot, kind, path in made
-    )
+    return tuple(Purge(slot, host="", kind=kind, path=path) for slot, kind, path in made)
 
 
 class Tags(unittest.TestCase):
--- a/tests/proxy/caller/test_caller_disconnects.py
+++ b/tests/proxy/caller/test_caller_disconnects.py
@@ -12,6 +12,7 @@
 import gevent
 from gevent import socket
 
+from tests.support.entries import daemon_entry
 from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.proxy.caller.standstill import STANDSTILL_SECONDS
 from willowpost.proxy.routing.snapshot import RoutingSnapshot
@@ -356,10 +357,10 @@
         shield = self.served(origin, role="shield")
         edge = ServedProxy(configuration=CONFIGURATION)
         self.addCleanup(edge.stop)
-        card = {"kind": "proxy", "role": "shield", "zone": "a", "state": "up", "incarnation": 1}
         address = f"127.0.0.1:{shield.address[1]}"
         state = edge.node_state
-        state.tables = Tables(slot=5, epoch=1, daemons={"h": {**card, "http": address}})
+        entry = daemon_entry("h", kind="proxy", role="shield", http=address)
+        state.tables = Tables(slot=5, epoch=1, daemons={"h": entry})
         state.snapshot = with_shield(state.snapshot, address)
         caller = self.sends(self.get("/kept/1"), edge)
         self.assertTrue(until(lambda: origin.requests))
--- a/tests/proxy/routing/test_denials.py
+++ b/tests/proxy/routing/test_denials.py
@@ -3,6 +3,7 @@
 import json
 import random
 import unittest
+from dataclasses import replace
 from unittest.mock import patch
 
 from tests.support.served import ServedProxy
@@ -17,7 +18,8 @@
 from willowpost.proxy.routing.snapshot import RoutingSnapshot
 from willowpost.registry.calls.change_carrier import ChangeCarrier
 from willowpost.sim.fleet.route_changes import RouteChanges
-from willowpost.state.apply.configurations import configuration
+from willowpost.state.apply.configurations import propose
+from willowpost.state.codec import encode_operation
 from willowpost.state.configuration_changes import ConfigurationProposal, content_digest
 from willowpost.state.tables import Tables
 
@@ -112,41 +114,41 @@
     def test_a_change_of_one_route_among_hundreds_is_a_small_operation(self):
         tables = self.accepted(Tables(epoch=1), self.proposal(1, ROUTES))
         proposal = self.proposal(2, ROUTES + 1)
-        whole = len(json.dumps(proposal.as_op()))
-        op = {**proposal.as_op(), **ChangeCarrier(proposal).fields(tables)}
+        whole = len(json.dumps(encode_operation(proposal)))
+        carried = replace(proposal, **ChangeCarrier(proposal).fields(tables))
         self.assertGreater(whole, 50_000)
-        self.assertLess(len(json.dumps(op)), 1_000)
-        after, answer = configuration(tables, op)
-        self.assertTrue(answer["ok"])
+        self.assertLess(len(json.dumps(encode_operation(carried))), 1_000)
+        after, result = propose(tables, carried)
+        self.assertTrue(result.is_accepted)
         held = after.configuration
-        self.assertEqual((proposal.tree, proposal.source), (held["tree"], held["source"]))
+        self.assertEqual((proposal.tree, proposal.source), (held.tree, held.source))
 
     def test_on_another_base_a_difference_is_superseded_and_the_whole_follows(self):
         tables = self.accepted(Tables(epoch=1), self.proposal(1, ROUTES))
         proposal, other = self.proposal(3, ROUTES + 1), self.proposal(2, ROUTES + 2)
         carrier = ChangeCarrier(proposal)
-        op = {**proposal.as_op(), **carrier.fields(tables)}
+        carried = replace(proposal, **carrier.fields(tables))
         moved_on = self.accepted(tables, other)
-        unchanged, answer = configuration(moved_on, op)
-        self.assertEqual((False, "superseded"), (answer["ok"], answer["why"]))
+        unchanged, result = propose(moved_on, carried)
+        self.assertEqual((False, "superseded"), (result.is_accepted, result.reason))
         self.assertIs(moved_on, unchanged)
         for _ in range(3):
-            last = {**proposal.as_op(), **carrier.fields(tables)}
-        self.assertEqual(proposal.tree, last["tree"])
-        self.assertTrue(configuration(moved_on, last)[1]["ok"])
+            last = replace(proposal, **carrier.fields(tables))
+        self.assertEqual(proposal.tree, last.tree)
+        self.assertTrue(propose(moved_on, last).result.is_accepted)
 
     def test_a_repeat_of_a_difference_is_acknowledged_by_its_content(self):
         tables = self.accepted(Tables(epoch=1), self.proposal(1, ROUTES))
         proposal = self.proposal(2, ROUTES + 1)
-        op = {**proposal.as_op(), **ChangeCarrier(proposal).fields(tables)}
-        after = configuration(tables, op)[0]
-        again, answer = configuration(after, op)
-        self.assertEqual((True, False), (answer["ok"], answer["changed"]))
+        carried = replace(proposal, **ChangeCarrier(proposal).fields(tables))
+        after = propose(tables, carried).tables
+        again, result = propose(after, carried)
+        self.assertEqual((True, False), (result.is_accepted, result.is_changed))
         self.assertIs(after, again)
 
     def test_sizes_are_of_the_difference(self):
         before, after = tree_of({"a": route(1)}), tree_of({"a": route(1), "b": route(2)})
-        delta = ConfigurationDelta.between({"tree": before}, after, None)
+        delta = ConfigurationDelta.between(before, None, after, None)
         self.assertLess(delta.size(), 150)
 
     def proposal(self, version, routes):
@@ -157,8 +159,8 @@
         )
 
     def accepted(self, tables, proposal):
-        after, answer = configuration(tables, proposal.as_op())
-        self.assertTrue(answer["ok"], answer)
+        after, result = propose(tables, proposal)
+        self.assertTrue(result.is_accepted, result)
         return after
 
 
--- a/tests/proxy/routing/test_shields.py
+++ b/tests/proxy/routing/test_shields.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 from types import MappingProxyType
 
+from tests.support.entries import daemon_entry
 from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.node.node_state import DaemonDescriptor
@@ -19,6 +20,8 @@
 from willowpost.sim.fleet.shape import SMALL
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
+from willowpost.state.entries import ActiveConfiguration, Purge
+from willowpost.state.lifecycle import DaemonState
 from willowpost.state.tables import Tables
 
 SECOND = 1_000_000
@@ -37,25 +40,27 @@
 }
 
 
-def card(name, role, zone, state="up", incarnation=1):
-    return {
-        "kind": "proxy",
-        "role": role,
-        "zone": zone,
-        "state": state,
-        "http": f"{name}:80",
-        "incarnation": incarnation,
-    }
+def proxy_entry(name, role, zone, state=DaemonState.UP, incarnation=1):
+    return daemon_entry(
+        name,
+        kind="proxy",
+        role=role,
+        zone=zone,
+        state=state,
+        http=f"{name}:80",
+        incarnation=incarnation,
+    )
 
 
 def tables(slot=5, **states):
     tree = ConfigurationChecker().check_value(TREE).unwrap()
-    daemons = {f"e{number}": card(f"e{number}", "edge", "abc"[number]) for number in range(3)}
+    daemons = {f"e{number}": proxy_entry(f"e{number}", "edge", "abc"[number]) for number in range(3)}
     daemons |= {
-        name: card(name, "shield", zone, states.get(name, "up"))
+        name: proxy_entry(name, "shield", zone, DaemonState(states.get(name, "up")))
         for name, zone in (("h0", "a"), ("h1", "b"))
     }
-    return Tables(slot=slot, epoch=1, daemons=daemons, configuration={"version": 1, "tree": tree})
+    configuration = ActiveConfiguration(1, tree)
+    return Tables(slot=slot, epoch=1, daemons=daemons, configuration=configuration)
 
 
 class Senders(unittest.TestCase):
@@ -185,8 +190,8 @@
         state.tables = Tables(
             slot=5,
             epoch=1,
-            fences=state.tables.fences,
-            daemons={name: card(name, "shield", "a") for name in named},
+            ownerships=state.tables.ownerships,
+            daemons={name: proxy_entry(name, "shield", "a") for name in named},
         )
         state.snapshot = _with_shields(state.snapshot, named)
         return proxy
@@ -208,7 +213,7 @@
 
     def test_a_copy_that_a_purge_known_here_has_ended_is_not_served(self):
         proxy = self.served((answer(b"old", wp_slot="3"),), origins=((answer(b"new"),),))
-        proxy.cache.purges = ({"slot": 4, "kind": "item", "host": "h.example", "path": "/x"},)
+        proxy.cache.purges = (Purge(slot=4, host="h.example", kind="item", path="/x"),)
         self.assertEqual((200, b"new"), proxy.ask("GET", "/x")[:2])
 
     def test_dead_shields_use_up_none_of_the_tries(self):
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -59,7 +59,7 @@
         self.proxy.set_origins([origin])
         state.quorum_heard_at = self.proxy.clock.now()
         state.fresh_as_of = self.proxy.clock.now() - 2_000_000
-        request = self.proxy.front._request(SubmitOperations(), 0, RequestLifetime())
+        request = self.proxy.front._request(ScriptedCall(), 0, RequestLifetime())
         with outgoing.sending(request, "somebody", False, False):
             self.assertEqual(1, len(outgoing.under_way))
         broken = {name for name, count in outgoing.violations.items() if count}
@@ -69,7 +69,7 @@
         self.assertEqual(2, len(lines))
 
 
-class SubmitOperations:
+class ScriptedCall:
     """A caller's request, as the handler hands it over."""
 
     def __init__(self):
--- a/tests/proxy/test_request_handling.py
+++ b/tests/proxy/test_request_handling.py
@@ -11,7 +11,8 @@
 from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.proxy.origin.exchange import Exchange
 from willowpost.proxy.origin.instance_check import InstanceCheck
-from willowpost.state.apply.operators import purge
+from willowpost.state.apply import apply_operation
+from willowpost.state.operations import PurgeCache
 from willowpost.state.tables import Tables
 
 
@@ -275,8 +276,8 @@
         class PurgingOrigin(ScriptedOrigin):
             def _serve(self, connection, source):
                 connection.recv(65536)
-                tables, _ = purge(
-                    Tables(slot=6, epoch=1), {"kind": "item", "host": "*", "path": "/r"}
+                tables, _ = apply_operation(
+                    Tables(slot=6, epoch=1), PurgeCache(kind="item", host="*", path="/r")
                 )
                 # the state updates comes while the origin is still answering
                 proxy.cache.purge(tables)
--- a/tests/registry/test_configuration_order_histories.py
+++ b/tests/registry/test_configuration_order_histories.py
@@ -6,7 +6,7 @@
 
 import json
 import unittest
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from types import SimpleNamespace
 
 from hypothesis import settings
@@ -18,7 +18,7 @@
 from willowpost.registry.calls.configurations import ConfigurationCalls
 from willowpost.registry.calls.control_api import ControlApi, unknown
 from willowpost.shell.web import Call
-from willowpost.state.lifecycle import SUPERSEDED
+from willowpost.state.results import Reason, Rejected
 from willowpost.state.tables import tables_from
 
 REGISTRIES = st.integers(0, 2)
@@ -53,20 +53,21 @@
         self.tables = self.log.tables
         return True
 
-    def accepted(self, op, answered, deadline=None, refused=None, fence=None, **how):
+    def accepted(self, operation, answered, deadline=None, refused=None, fence=None, **how):
         while True:
             fields = fence(self.tables) if fence else {}
+            fenced = replace(operation, **fields)
             if self.fate == "late":
-                held = self.tables.configuration["version"]
-                self.late.append(({**op, **fields}, held))
+                held = self.tables.configuration.version
+                self.late.append((fenced, held))
                 return unknown()
-            answer, slot = self.log.put(**{**op, **fields}), self.log.tables.slot - 1
-            if answer.get("why") != SUPERSEDED:
+            result, slot = self.log.put(fenced), self.log.tables.slot - 1
+            if not isinstance(result, Rejected) or result.reason != Reason.SUPERSEDED:
                 break
             self.read()
         if self.fate == "lost":
             return unknown()
-        return answered(answer, slot) if answer["ok"] else refused(answer)
+        return answered(result, slot) if result.is_accepted else refused(result)
 
 
 @dataclass(frozen=True)
@@ -91,7 +92,7 @@
     def __init__(self):
         super().__init__()
         self.log = Log()
-        self.late = []  # ops that wait behind a cut, each with the version its registry knew
+        self.late = []  # operations that wait behind a cut, each with the version its registry knew
         self.registries = [LaggingRegistry(self.log, self.late) for _ in range(3)]
         self.contents = {}  # version -> what was in force under it
         self.acknowledged = []  # [order, version of its first answer]
@@ -111,7 +112,7 @@
     def confirmed(self, order, told):
         """One number, one content: what the sender may now believe is what stands there."""
         held = self.log.tables.configuration
-        self.contents.setdefault(held["version"], (held["tree"], held.get("source")))
+        self.contents.setdefault(held.version, (held.tree, held.source))
         tree_held, source = self.contents[told["version"]]
         if order.method == "PUT":
             assert (tree_held, source) == (self.checked(order.value), None)
@@ -124,7 +125,7 @@
         return ConfigurationChecker().check_value(value).unwrap()
 
     def headers(self, match, key):
-        held = self.log.tables.configuration["version"]
+        held = self.log.tables.configuration.version
         named = {"if-match": None if match is None else f'"{max(0, held - match)}"'}
         named["idempotency-key"] = key
         return tuple((name, value) for name, value in named.items() if value is not None)
@@ -137,7 +138,7 @@
 
     @rule(at=REGISTRIES, tries=TRIES, step=st.integers(-2, 3), source=KEYS, fate=FATES)
     def number(self, at, tries, step, source, fate):
-        version = max(0, self.log.tables.configuration["version"] + step)
+        version = max(0, self.log.tables.configuration.version + step)
         value = {"version": version, "configuration": tree(tries)}
         value |= {"source": source} if source else {}
         answer = self.send(Order("POST", "/v1/configurations", value), at, fate)
@@ -183,12 +184,12 @@
     @rule()
     def arrive_late(self):
         """Behind a cut an order waits; it undoes nothing that was accepted meanwhile."""
-        op, known = self.late.pop(0)
-        newest = self.log.tables.changes.newest()
-        answer = self.log.put(**op)
-        unconditional = op.keys().isdisjoint({"version", "if_match"})
+        operation, known = self.late.pop(0)
+        newest = self.log.tables.configuration_changes.newest()
+        result = self.log.put(operation)
+        unconditional = operation.version is None and operation.if_match is None
         if unconditional and newest is not None and newest.version > known:
-            assert not answer.get("changed"), (op, answer)
+            assert not (result.is_accepted and result.is_changed), (operation, result)
 
     @rule(at=REGISTRIES)
     def restore(self, at):
@@ -207,12 +208,12 @@
     @invariant()
     def one_content_under_one_version_that_only_goes_up(self):
         held = self.log.tables.configuration
-        assert held["version"] >= self.version
-        self.version = held["version"]
-        if held["tree"] is not None:
-            content = held["tree"], held.get("source")
+        assert held.version >= self.version
+        self.version = held.version
+        if held.tree is not None:
+            content = held.tree, held.source
             assert self.contents.setdefault(self.version, content) == content
-            assert ConfigurationChecker().check_value(held["tree"]).is_ok()
+            assert ConfigurationChecker().check_value(held.tree).is_ok()
 
 
 class OrderHistories(Histories.TestCase):
--- a/tests/registry/test_origin_lifecycle.py
+++ b/tests/registry/test_origin_lifecycle.py
@@ -6,7 +6,9 @@
 import itertools
 import json
 import unittest
+from dataclasses import replace
 
+from tests.support.entries import daemon_entry, member, origin_entry
 from tests.support.operation_log import Log
 from tests.support.registry_world import World
 from willowpost.common.clock import MILLI, SECOND
@@ -14,8 +16,19 @@
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.node.command_client import CommandClient
 from willowpost.node.node_state import DaemonDescriptor, NodeState
-from willowpost.registry.origin_health import OriginHealthMonitor, HeartbeatReceived
+from willowpost.registry.origin_health import HeartbeatReceived, OriginHealthMonitor
 from willowpost.sim.world import seconds
+from willowpost.state.codec import decode_operation
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.entries import ActiveConfiguration, AddressBinding
+from willowpost.state.lifecycle import OriginState
+from willowpost.state.operations import (
+    ChangeOriginState,
+    EndOrigin,
+    EvacuateZone,
+    RegisterOrigin,
+)
+from willowpost.state.results import OriginAccepted
 from willowpost.state.tables import MAX_ADDRESS_BINDINGS, MAX_ENDED_TOKENS, Tables, tables_from
 from willowpost.wire.messages import OriginHeartbeat, SubmitCommand
 
@@ -30,179 +43,179 @@
 class Incarnations(unittest.TestCase):
     def setUp(self):
         self.log = Log()
-        self.log.put(op="configuration", tree={"services": SERVICES})
+        self.log.put(ConfigurationProposal(tree={"services": SERVICES}))
 
     def register(self, token=None, address="127.0.0.1:1", service="plain", zone="a", **more):
         return self.log.put(
-            op="register",
-            address=address,
-            service=service,
-            zone=zone,
-            rate=9.0,
-            cold_rate=1.0,
-            **({"token": token} if token else {}),
-            **more,
+            RegisterOrigin(
+                address=address,
+                service=service,
+                zone=zone,
+                rate=9.0,
+                slow_start_rate=1.0,
+                token=token,
+                **more,
+            )
         )
 
     def turn(self, origin, state, **more):
-        return self.log.put(op="turn", origin=origin, state=state, **more)
+        return self.log.put(ChangeOriginState(state, origin, **more))
 
     def state(self, name):
-        return self.log.tables.origins.get(name, {}).get("state")
+        origin = self.log.tables.origins.get(name)
+        return None if origin is None else origin.state
 
     def test_a_incarnation_registers_once_however_often_it_is_said(self):
-        first = self.register("one", cold=False)
+        first = self.register("one", is_warming_up=False)
         self.assertEqual(
-            {"ok": True, "origin": first["origin"], "state": "warm"},
-            self.register("one", cold=True),
+            OriginAccepted(first.origin, "warm"),
+            self.register("one", is_warming_up=True),
         )
-        self.assertEqual([first["origin"]], list(self.log.tables.origins))
+        self.assertEqual([first.origin], list(self.log.tables.origins))
 
     def test_a_incarnation_that_left_does_not_come_back(self):
         for end in (
             lambda name: self.turn(name, "gone"),
-            lambda name: self.log.put(op="end", token="one"),
+            lambda name: self.log.put(EndOrigin("one")),
         ):
             self.setUp()
-            end(self.register("one")["origin"])
+            end(self.register("one").origin)
             for _ in range(2):
-                self.assertFalse(self.register("one")["ok"])
-            self.assertFalse(self.register("one", address="127.0.0.1:2", state="draining")["ok"])
+                self.assertFalse(self.register("one").is_accepted)
+            self.assertFalse(self.register("one", address="127.0.0.1:2", is_draining=True).is_accepted)
             self.assertEqual({}, self.log.tables.origins)
-            self.assertTrue(self.log.put(op="end", token="one")["ok"])
+            self.assertTrue(self.log.put(EndOrigin("one")).is_accepted)
             self.assertEqual(
-                "gone", self.log.put(op="turn", token="one", state="draining")["state"]
+                "gone", self.log.put(ChangeOriginState("draining", token="one")).state
             )
-            self.assertEqual(("one",), self.log.tables.ended)
-            self.assertTrue(self.register("two")["ok"])
+            self.assertEqual(("one",), self.log.tables.ended_tokens)
+            self.assertTrue(self.register("two").is_accepted)
 
     def test_a_incarnation_that_was_never_heard_of_can_end(self):
-        self.assertTrue(self.log.put(op="end", token="one")["ok"])
-        self.assertFalse(self.register("one")["ok"])
+        self.assertTrue(self.log.put(EndOrigin("one")).is_accepted)
+        self.assertFalse(self.register("one").is_accepted)
 
     def test_one_that_fell_silent_may_come_back_unless_it_was_leaving(self):
-        self.turn(self.register("one")["origin"], "gone", silent=True)
-        name = self.register("one")["origin"]
+        self.turn(self.register("one").origin, "gone", timed_out=True)
+        name = self.register("one").origin
         self.turn(name, "draining")
-        self.turn(name, "gone", silent=True)
-        self.assertFalse(self.register("one")["ok"])
+        self.turn(name, "gone", timed_out=True)
+        self.assertFalse(self.register("one").is_accepted)
 
     def test_another_incarnation_at_its_address_ends_it_but_its_own_new_address_does_not(self):
         self.register("one")
-        moved = self.register("one", address="127.0.0.1:2")["origin"]
-        self.assertEqual(([moved], ()), (list(self.log.tables.origins), self.log.tables.ended))
+        moved = self.register("one", address="127.0.0.1:2").origin
+        self.assertEqual(([moved], ()), (list(self.log.tables.origins), self.log.tables.ended_tokens))
         self.register("two", address="127.0.0.1:2")
-        self.assertEqual(("one",), self.log.tables.ended)
+        self.assertEqual(("one",), self.log.tables.ended_tokens)
 
     def test_its_own_other_service_does_not_end_it(self):
         self.register("one")
         self.register("one", service="other")
-        self.assertEqual((1, ()), (len(self.log.tables.origins), self.log.tables.ended))
+        self.assertEqual((1, ()), (len(self.log.tables.origins), self.log.tables.ended_tokens))
 
     def test_the_last_ended_incarnations_are_remembered_also_by_whoever_reads_a_snapshot(self):
         for number in range(MAX_ENDED_TOKENS + 5):
-            self.log.put(op="end", token=f"t{number}")
+            self.log.put(EndOrigin(f"t{number}"))
         self.log.tables = tables_from(self.log.tables.text())
-        self.assertEqual(MAX_ENDED_TOKENS, len(self.log.tables.ended))
+        self.assertEqual(MAX_ENDED_TOKENS, len(self.log.tables.ended_tokens))
         self.assertEqual(
             [True, False, False],
-            [self.register(f"t{number}")["ok"] for number in (4, 5, MAX_ENDED_TOKENS + 4)],
+            [self.register(f"t{number}").is_accepted for number in (4, 5, MAX_ENDED_TOKENS + 4)],
         )
 
     def test_it_enters_cold_or_warm_as_it_says(self):
         for cold, state, told in (
             (True, "cold", True),
             (False, "warm", True),
-            (None, "cold", None),
+            (None, "cold", False),
         ):
             self.setUp()
-            name = self.register("one", **({} if cold is None else {"cold": cold}))["origin"]
+            name = self.register("one", **({} if cold is None else {"is_warming_up": cold})).origin
             self.assertEqual(
-                (state, told), (self.state(name), self.log.tables.origins[name].get("told"))
+                (state, told), (self.state(name), self.log.tables.origins[name].reports_warm_up)
             )
 
     def test_draining_is_the_end_of_being_ready(self):
-        name = self.register("one", state="draining")["origin"]
+        name = self.register("one", is_draining=True).origin
         self.assertEqual("draining", self.state(name))
-        self.assertEqual("draining", self.register("one")["state"])
+        self.assertEqual("draining", self.register("one").state)
         for state in ("warm", "cold"):
-            self.assertFalse(self.turn(name, state)["ok"])
+            self.assertFalse(self.turn(name, state).is_accepted)
         self.assertEqual("draining", self.state(name))
-        other = self.register("two", address="127.0.0.1:2")["origin"]
+        other = self.register("two", address="127.0.0.1:2").origin
         self.assertEqual(
-            "draining", self.register("two", address="127.0.0.1:2", state="draining")["state"]
+            "draining", self.register("two", address="127.0.0.1:2", is_draining=True).state
         )
         self.assertEqual("draining", self.state(other))
-        self.assertTrue(self.turn(other, "draining")["ok"])
+        self.assertTrue(self.turn(other, "draining").is_accepted)
 
     def test_a_used_address_waits_unless_the_service_names_its_incarnations(self):
         self.register("one")
-        self.assertEqual("waiting", self.register("two", service="other", cold=False)["state"])
-        self.assertEqual("warm", self.register("three", service="named", cold=False)["state"])
-        self.assertEqual("waiting", self.register("four", service="plain", cold=False)["state"])
+        self.assertEqual("waiting", self.register("two", service="other", is_warming_up=False).state)
+        self.assertEqual("warm", self.register("three", service="named", is_warming_up=False).state)
+        self.assertEqual("waiting", self.register("four", service="plain", is_warming_up=False).state)
 
     def test_a_turn_of_an_earlier_beat_gives_route(self):
-        name = self.register("one", cold=False, number=3)["origin"]
-        self.turn(name, "cold", number=3)
+        name = self.register("one", is_warming_up=False, heartbeat_number=3).origin
+        self.turn(name, "cold", heartbeat_number=3)
         self.assertEqual("warm", self.state(name))
-        self.turn(name, "cold", number=5)
-        self.turn(name, "warm", number=4)
+        self.turn(name, "cold", heartbeat_number=5)
+        self.turn(name, "warm", heartbeat_number=4)
         self.assertEqual("cold", self.state(name))
-        self.turn(name, "warm", number=6)
+        self.turn(name, "warm", heartbeat_number=6)
         self.assertEqual("warm", self.state(name))
 
     def test_a_zone_that_is_given_back_is_cold_until_a_later_beat(self):
         held = {
             service + zone: self.register(
-                service + zone, f"127.0.0.1:{port}", service, zone, cold=False
-            )["origin"]
+                service + zone, f"127.0.0.1:{port}", service, zone, is_warming_up=False
+            ).origin
             for port, (service, zone) in enumerate(
                 (("careful", "a"), ("careful", "b"), ("plain", "a")), 1
             )
         }
-        leaving = self.register("leaving", "127.0.0.1:9", "careful", "a", state="draining")[
-            "origin"
-        ]
-        self.log.put(op="zone", zone="a", empty=True, what="origins")
+        leaving = self.register("leaving", "127.0.0.1:9", "careful", "a", is_draining=True).origin
+        self.log.put(EvacuateZone("a", is_evacuated=True, scope="origins"))
         before = self.log.tables.slot
-        self.log.put(op="zone", zone="a", empty=False)
+        self.log.put(EvacuateZone("a", is_evacuated=False))
         self.assertEqual(
             {"carefula": "cold", "carefulb": "warm", "plaina": "warm"},
             {name: self.state(origin) for name, origin in held.items()},
         )
         self.assertEqual("draining", self.state(leaving))
-        self.assertFalse(self.turn(held["carefula"], "warm", as_of=before)["ok"])
+        self.assertFalse(self.turn(held["carefula"], "warm", known_slot=before).is_accepted)
         self.assertEqual("cold", self.state(held["carefula"]))
-        self.assertTrue(self.turn(held["carefula"], "warm", as_of=before + 1)["ok"])
-        self.log.put(op="zone", zone="a", empty=False)  # said again
+        self.assertTrue(self.turn(held["carefula"], "warm", known_slot=before + 1).is_accepted)
+        self.log.put(EvacuateZone("a", is_evacuated=False))  # said again
         self.assertEqual("warm", self.state(held["carefula"]))
 
     def test_one_that_was_cold_already_is_cold_anew_when_its_zone_is_given_back(self):
-        name = self.register("one", service="careful", cold=True)["origin"]
+        name = self.register("one", service="careful", is_warming_up=True).origin
         before = self.log.tables.slot
-        self.log.put(op="zone", zone="a", empty=True, what="origins")
-        self.log.put(op="zone", zone="a", empty=False)
-        self.assertFalse(self.turn(name, "warm", as_of=before)["ok"])
+        self.log.put(EvacuateZone("a", is_evacuated=True, scope="origins"))
+        self.log.put(EvacuateZone("a", is_evacuated=False))
+        self.assertFalse(self.turn(name, "warm", known_slot=before).is_accepted)
 
     def test_giving_back_what_was_not_emptied_of_origins_alone_turns_nothing_cold(self):
-        name = self.register("one", service="careful", cold=False)["origin"]
-        for empty, what in (
+        name = self.register("one", service="careful", is_warming_up=False).origin
+        for empty, scope in (
             (False, {}),
             (True, {}),
             (False, {}),
-            (True, {"what": "origins"}),
-            (True, {"what": "all"}),
+            (True, {"scope": "origins"}),
+            (True, {"scope": "all"}),
             (False, {}),
         ):
-            self.log.put(op="zone", zone="a", empty=empty, **what)
-            self.assertEqual("warm", self.state(name), (empty, what))
+            self.log.put(EvacuateZone("a", empty, **scope))
+            self.assertEqual("warm", self.state(name), (empty, scope))
 
     def test_the_oldest_bound_address_is_forgotten_first_also_after_a_snapshot(self):
         tables = Tables(
             epoch=1,
             slot=MAX_ADDRESS_BINDINGS,
-            bound={
-                f"z{number}": {"service": "plain", "slot": MAX_ADDRESS_BINDINGS - number}
+            address_bindings={
+                f"z{number}": AddressBinding("plain", MAX_ADDRESS_BINDINGS - number)
                 for number in range(MAX_ADDRESS_BINDINGS)
             },
         )
@@ -211,9 +224,9 @@
         self.assertEqual(
             (MAX_ADDRESS_BINDINGS, False, True),
             (
-                len(self.log.tables.bound),
-                f"z{MAX_ADDRESS_BINDINGS - 1}" in self.log.tables.bound,
-                "z0" in self.log.tables.bound,
+                len(self.log.tables.address_bindings),
+                f"z{MAX_ADDRESS_BINDINGS - 1}" in self.log.tables.address_bindings,
+                "z0" in self.log.tables.address_bindings,
             ),
         )
 
@@ -222,46 +235,24 @@
     """One registry's part, with others and a proxy beside it."""
 
     def setUp(self):
-        def card(kind, name):
-            return {
-                "id": f"{name}/{kind}",
-                "kind": kind,
-                "role": "core",
-                "name": name,
-                "zone": "a",
-                "address": name,
-                "http": name,
-                "incarnation": 1,
-                "state": "up",
-                "since": 0,
-            }
+        def entry(kind, name):
+            return daemon_entry(f"{name}/{kind}", kind=kind, name=name, address=name, http=name)
 
         daemons = {
-            held["id"]: held
-            for held in (card("registry", "r0"), card("registry", "r1"), card("proxy", "p0"))
-        }
-        origin = {
-            "service": "careful",
-            "address": "127.0.0.1:9",
-            "zone": "a",
-            "rate": 9.0,
-            "cold_rate": 1.0,
-            "slot": 1,
-            "state": "warm",
-            "told": True,
+            daemon.id: daemon
+            for daemon in (entry("registry", "r0"), entry("registry", "r1"), entry("proxy", "p0"))
         }
+        origin = origin_entry(service="careful", reports_warm_up=True)
+        service = {"silent_seconds": 4.0, "ramp_seconds": 2.0}
         self.node_state = NodeState(
             DaemonDescriptor("r0/registry", "registry", "core", "r0", "a", "r0", "r0", 1),
             Tables(
                 slot=7,
                 epoch=1,
-                core=({"identity": "s", "name": "s", "zone": "a", "address": "s0"},),
+                voters=(member("s", address="s0"),),
                 daemons=daemons,
                 origins={"o": origin},
-                configuration={
-                    "version": 1,
-                    "tree": {"services": {"careful": {"silent_seconds": 4.0, "ramp_seconds": 2.0}}},
-                },
+                configuration=ActiveConfiguration(1, {"services": {"careful": service}}),
             ),
         )
         self.probed, self.now, self.in_touch = [], 100 * SECOND, True
@@ -271,26 +262,27 @@
             lambda *probe: self.probed.append((self.now, probe)),
         )
 
-    def card(self, **more):
-        self.node_state.tables = Tables(
-            **{
-                **{name: getattr(self.node_state.tables, name) for name in Tables.__slots__},
-                "origins": {"o": {**self.node_state.tables.origins["o"], **more}},
-            }
-        )
+    def set_origin(self, name="o", **attributes):
+        tables = self.node_state.tables
+        (origin,) = tables.origins.values()
+        origins = {name: replace(origin, **attributes)}
+        self.node_state.tables = replace(tables, origins=origins)
 
     def step(self, event, after=0):
-        """The messages sent, and the ops proposed: the command client submits them some ms later."""
+        """The messages sent, and the operations proposed.
+
+        The command client submits them some ms later.
+        """
         self.now += after
         if self.in_touch:
             self.node_state.whole_as_of(self.now)
         plan = self.beats.step(event, self.now)
         plan.join(self.beats.command_client.step(Tick(), self.now + 10 * MILLI))
         ops = [
-            op
+            decode_operation(stored)
             for _, message in plan.sends
             if isinstance(message, SubmitCommand)
-            for op in json.loads(message.command.body)
+            for stored in json.loads(message.command.body)
         ]
         self.beats.command_client.pending.clear()
         return [
@@ -311,12 +303,7 @@
             )
             == own
         )
-        self.node_state.tables = Tables(
-            **{
-                **{held: getattr(self.node_state.tables, held) for held in Tables.__slots__},
-                "origins": {name: self.node_state.tables.origins["o"]},
-            }
-        )
+        self.set_origin(name)
         return name
 
     def test_a_beat_goes_to_every_other_registry_and_proxy_at_once_whole(self):
@@ -339,35 +326,35 @@
     def test_beats_without_numbers_all_count(self):
         for _ in range(3):
             self.assertEqual(2, len(self.step(HeartbeatReceived(OriginHeartbeat("o")), SECOND)[0]))
-            self.assertEqual(2, len(self.step(("beat", "o", 3), SECOND)[0]))
+            self.assertEqual(2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", 3)), SECOND)[0]))
         self.assertEqual(self.now, self.beats.heard["o"])
 
     def test_who_takes_a_beat_proposes_at_once_what_it_says_of_being_cold(self):
         self.assertEqual(
-            [{"op": "turn", "origin": "o", "state": "cold", "told": True, "number": 6}],
+            [ChangeOriginState("cold", "o", reports_warm_up=True, heartbeat_number=6)],
             self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=6), True))[1],
         )
-        self.descriptor(state="cold")
+        self.set_origin(state=OriginState.WARMING_UP)
         self.assertEqual(
-            [{"op": "turn", "origin": "o", "state": "warm", "told": True, "number": 7, "as_of": 7}],
+            [ChangeOriginState("warm", "o", reports_warm_up=True, heartbeat_number=7, known_slot=7)],
             self.step(HeartbeatReceived(OriginHeartbeat("o", number=7), True), 10 * MILLI)[1],
         )
         self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=8), True))[1])
         self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", number=9)))[1])
         self.assertEqual([], self.step(Received("r1", OriginHeartbeat("o", number=10)))[1])
-        for state in ("waiting", "draining"):
-            self.descriptor(state=state)
+        for state in (OriginState.WAITING, OriginState.DRAINING):
+            self.set_origin(state=state)
             self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", number=99 + len(state)), True))[1])
 
     def test_a_ramp_is_guessed_only_for_those_who_do_not_say(self):
         name = self.owned()
-        for told, states in ((True, []), (None, [("warm", 7)])):
+        for reported, states in ((True, []), (False, [("warm", 7)])):
             self.beats.seen.clear()
-            self.node_state.tables.origins[name].update(state="cold", told=told)
+            self.set_origin(name, state=OriginState.WARMING_UP, reports_warm_up=reported)
             self.step(HeartbeatReceived(OriginHeartbeat(name)))
             self.assertEqual(
                 states,
-                [(op["state"], op.get("as_of")) for op in self.pass_time(int(2.5 * SECOND))][:1],
+                [(op.state, op.known_slot) for op in self.pass_time(int(2.5 * SECOND))][:1],
             )
             self.step(HeartbeatReceived(OriginHeartbeat(name)))
 
@@ -378,7 +365,7 @@
         name = self.owned()
         self.step(HeartbeatReceived(OriginHeartbeat(name)))
         ops = self.pass_time(int(4.5 * SECOND))
-        gone = {"op": "turn", "origin": name, "state": "gone", "silent": True, "by": "r0/registry"}
+        gone = ChangeOriginState("gone", name, timed_out=True, registry="r0/registry")
         self.assertEqual([gone], ops[:1])
         moments = [moment for moment, _ in self.probed]
         self.assertEqual(3, len(moments))
@@ -424,9 +411,9 @@
 
     def states(self, token="incarnation-one", first=1):
         return [
-            card["state"]
-            for card in self.tables(first).origins.values()
-            if card.get("token") == token
+            origin.state
+            for origin in self.tables(first).origins.values()
+            if origin.token == token
         ]
 
     def test_a_incarnation_from_its_first_beat_to_its_end_through_two_registries(self):
@@ -518,9 +505,9 @@
             self.assertEqual(
                 [rate],
                 [
-                    card["rate"]
-                    for card in self.tables().origins.values()
-                    if card.get("token") == f"incarnation-{number}"
+                    origin.rate
+                    for origin in self.tables().origins.values()
+                    if origin.token == f"incarnation-{number}"
                 ],
             )
 
@@ -539,11 +526,11 @@
         self,
     ):
         self.call("POST", "/v1/origins/leave", {"token": "incarnation-one"})
-        self.assertNotIn("incarnation-one", self.world.seats["r1"].node.registry.tables.ended)
+        self.assertNotIn("incarnation-one", self.world.seats["r1"].node.registry.tables.ended_tokens)
         self.assertEqual(
             (200, "gone"), ((answer := self.beat(2, first=1)).code, answer.value["state"])
         )
-        self.assertIn("incarnation-one", self.tables().ended)
+        self.assertIn("incarnation-one", self.tables().ended_tokens)
         for name in ("s0", "s1", "s2"):
             self.world.crash(name)
         self.assertEqual(
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -117,7 +117,7 @@
         held = self.world.seats["r1"].node.registry.tables.purges
         self.assertEqual(
             [("tag", "t03a9f1"), ("tag", "x" * 256)],
-            [(purge["kind"], purge["path"]) for purge in held],
+            [(purge.kind, purge.path) for purge in held],
         )
         for wrong in (
             {"kind": "tag"},
@@ -131,7 +131,7 @@
 
     def test_a_zone_is_emptied_of_its_origins_alone_or_whole(self):
         def held():
-            return self.world.seats["r0"].node.registry.tables.zones["b"]
+            return self.world.seats["r0"].node.registry.tables.zone_evacuations["b"]
 
         for body, what in ((b"", "all"), ({"what": "origins"}, "origins"), ({}, "all")):
             self.assertEqual(
@@ -141,10 +141,10 @@
                     answer.value["what"],
                 ),
             )
-            self.assertEqual((True, what), (held()["empty"], held()["what"]))
+            self.assertEqual((True, what), (held().is_evacuated, held().scope))
         self.assertEqual(422, self.call("POST", "/v1/zones/b/empty", {"what": "nothing"}).code)
         self.assertEqual(200, self.call("POST", "/v1/zones/b/restore").code)
-        self.assertFalse(held()["empty"])
+        self.assertFalse(held().is_evacuated)
 
     def test_without_a_quorum_the_outcome_is_called_unknown_and_nothing_is_read(self):
         self.call("PUT", "/v1/configuration", self.world.configuration)
--- a/tests/registry/test_sustained_operator_load.py
+++ b/tests/registry/test_sustained_operator_load.py
@@ -6,6 +6,7 @@
 
 from tests.support.registry_world import World
 from willowpost.sim.world import seconds
+from willowpost.state.configuration_changes import ConfigurationProposal
 
 UNDER_WAY = 8
 CHANGES = 304
@@ -45,11 +46,9 @@
             tokens = [
                 self.world.ask(
                     f"r{number % 2}",
-                    {
-                        "op": "configuration",
-                        "version": number + 1,
-                        "tree": self.configuration(number),
-                    },
+                    ConfigurationProposal(
+                        version=number + 1, tree=self.configuration(number)
+                    ),
                 )
                 for number in range(start, start + UNDER_WAY)
             ]
@@ -60,14 +59,14 @@
                 ),
                 f"changes from {start} on",
             )
-            answers = [self.world.replies[token]["answers"][0] for token in tokens]
-            self.assertTrue(all(answer["ok"] for answer in answers), answers)
+            results = [self.world.replies[token].results[0] for token in tokens]
+            self.assertTrue(all(result.is_accepted for result in results), results)
             self.assertLess(self.world.time - begun, seconds(1))
         self.world.run(seconds(1))
         for registry in range(2):
             held = self.tables(registry).configuration
-            self.assertEqual(CHANGES, held["version"])
-            self.assertEqual(999 + CHANGES, held["tree"]["settings"]["deadline_ms"])
+            self.assertEqual(CHANGES, held.version)
+            self.assertEqual(999 + CHANGES, held.tree["settings"]["deadline_ms"])
 
     def test_each_kind_of_order_is_acknowledged_again_through_any_registry(self):
         for number in range(16):
@@ -77,7 +76,7 @@
                 self.assertEqual(200, answer.code, (path, answer.value))
         self.world.run(seconds(1))
         for registry in range(2):
-            self.assertEqual(14, self.tables(registry).configuration["version"])
+            self.assertEqual(14, self.tables(registry).configuration.version)
 
     def test_an_order_repeated_after_all_stores_restarted_is_acknowledged(self):
         orders = [self.order(number) for number in range(4)]
@@ -140,7 +139,7 @@
             state = "draining" if number % 2 else "ready"
             self.assertEqual(200, self.beat(number, "one", state=state))
         origins = self.world.seats["r1"].node.registry.tables.origins.values()
-        self.assertEqual(["draining"], [o["state"] for o in origins if o.get("token") == "one"])
+        self.assertEqual(["draining"], [origin.state for origin in origins if origin.token == "one"])
 
 
 if __name__ == "__main__":
--- a/tests/shell/test_disk.py
+++ b/tests/shell/test_disk.py
@@ -156,7 +156,7 @@
 
     def test_the_patient_wait_for_room_and_say_so_but_raise_what_will_not_pass(self):
         said, waited = [], []
-        logger = type("Logs", (), {"say": lambda self, *words, **more: said.append(words)})()
+        logger = type("Logger", (), {"log": lambda self, *words, **more: said.append(words)})()
         patient = RetryingDisk(self.disk, logger, waited.append)
         with self.failing("write", errno.ENOSPC, times=50):
             patient.append([{"k": "decision", "slot": 1}])
@@ -188,7 +188,7 @@
             def append(self, records):
                 raise OSError(28, "No space left on device")
 
-        logger = type("Logs", (), {"say": lambda self, *words, **more: said.append((words, more))})()
+        logger = type("Logger", (), {"log": lambda self, *words, **more: said.append((words, more))})()
         runner = Runner("127.0.0.1:0", logger, Full(), died.append)
         runner.mesh.send = lambda *args: sent.append(args)
         runner.start(Node())
--- a/tests/shell/test_settings_reload.py
+++ b/tests/shell/test_settings_reload.py
@@ -13,11 +13,11 @@
 
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import SettingsChanged
-from willowpost.node.node_state import LEASE, DaemonDescriptor, NodeState
 from willowpost.node.failure_detector import watchers_of
-from willowpost.shell.structured_log import StructuredLogger
+from willowpost.node.node_state import LEASE, DaemonDescriptor, NodeState
 from willowpost.shell.reload import SettingsReload
 from willowpost.shell.settings import DaemonSettings, SettingsReader
+from willowpost.shell.structured_log import StructuredLogger
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
 
--- a/tests/state/test_numbered_configurations.py
+++ b/tests/state/test_numbered_configurations.py
@@ -10,6 +10,9 @@
 from tests.support.operation_log import Log
 from tests.support.registry_world import World
 from willowpost.sim.world import seconds
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.entries import ActiveConfiguration
+from willowpost.state.results import ConfigurationAccepted, Reason, Rejected
 from willowpost.state.tables import Tables, tables_from
 
 
@@ -25,47 +28,48 @@
             chance, log, highest = random.Random(seed), Log(), None
             numbers = [chance.randrange(40) for _ in range(8)]
             for number in chance.sample(numbers * 2, 16):
-                answer = log.put(
-                    op="configuration", version=number, tree=tree(number), source=f"s{number}"
+                result = log.put(
+                    ConfigurationProposal(
+                        version=number, tree=tree(number), source=f"s{number}"
+                    )
                 )
                 above = highest is None or number > highest
                 highest = number if above else highest
                 self.assertEqual(
-                    {"ok": True, "version": highest, "changed": above}, answer, (seed, number)
+                    ConfigurationAccepted(highest, is_changed=above), result, (seed, number)
                 )
                 self.assertEqual(
-                    {"version": highest, "tree": tree(highest), "source": f"s{highest}"},
+                    ActiveConfiguration(highest, tree(highest), f"s{highest}"),
                     log.tables.configuration,
                 )
 
     def test_a_number_said_again_with_another_configuration_is_refused_and_changes_nothing(self):
         log = Log()
-        log.put(op="configuration", version=7, tree=tree(1), source="first")
+        log.put(ConfigurationProposal(version=7, tree=tree(1), source="first"))
         for other, source in ((tree(2), "first"), (tree(1), "second"), (tree(1), None)):
-            answer = log.put(op="configuration", version=7, tree=other, source=source)
-            self.assertEqual((False, False), (answer["ok"], answer["changed"]))
-            self.assertEqual("first", log.tables.configuration["source"])
-        self.assertTrue(log.put(op="configuration", version=7, tree=tree(1), source="first")["ok"])
+            result = log.put(ConfigurationProposal(version=7, tree=other, source=source))
+            self.assertEqual(Rejected(Reason.OTHER_CONTENT, 7), result)
+            self.assertEqual("first", log.tables.configuration.source)
+        again = log.put(ConfigurationProposal(version=7, tree=tree(1), source="first"))
+        self.assertTrue(again.is_accepted)
 
     def test_without_a_number_the_next_one_is_taken_and_an_old_source_does_not_stay(self):
         log = Log()
-        log.put(op="configuration", version=7, tree=tree(1), source="first")
+        log.put(ConfigurationProposal(version=7, tree=tree(1), source="first"))
+        stale = log.put(ConfigurationProposal(tree=tree(2), if_match=6))
+        self.assertEqual((False, 7), (stale.is_accepted, stale.version))
+        self.assertEqual(8, log.put(ConfigurationProposal(tree=tree(2), if_match=7)).version)
+        self.assertEqual(ActiveConfiguration(8, tree(2), source=None), log.tables.configuration)
         self.assertEqual(
-            (False, 7),
-            (
-                (answer := log.put(op="configuration", tree=tree(2), if_match=6))["ok"],
-                answer["version"],
-            ),
+            Rejected(Reason.OTHER_CONTENT, 8),
+            log.put(ConfigurationProposal(version=8, tree=tree(3))),
         )
-        self.assertEqual(8, log.put(op="configuration", tree=tree(2), if_match=7)["version"])
-        self.assertEqual({"version": 8, "tree": tree(2)}, log.tables.configuration)
-        self.assertFalse(log.put(op="configuration", version=8, tree=tree(3))["changed"])
-        self.assertTrue(log.put(op="configuration", version=9, tree=tree(3))["changed"])
+        self.assertTrue(log.put(ConfigurationProposal(version=9, tree=tree(3))).is_changed)
 
     def test_a_number_without_a_configuration_is_never_in_force(self):
         log = Log()
-        self.assertFalse(log.put(op="configuration", version=3)["ok"])
-        self.assertIsNone(log.tables.configuration["tree"])
+        self.assertFalse(log.put(ConfigurationProposal(version=3)).is_accepted)
+        self.assertIsNone(log.tables.configuration.tree)
 
     def test_tables_of_an_earlier_build_are_read(self):
         held = json.loads(Tables(slot=4).text())
@@ -109,7 +113,7 @@
             tokens = [
                 self.world.ask(
                     f"r{place % 5}",
-                    {"op": "configuration", "version": number, "tree": tree(number)},
+                    ConfigurationProposal(version=number, tree=tree(number)),
                 )
                 for place, number in enumerate(numbers)
             ]
@@ -118,10 +122,12 @@
                     lambda: all(token in self.world.replies for token in tokens), seconds(8)
                 )
             )
-            self.assertTrue(all(self.world.replies[token]["answers"][0]["ok"] for token in tokens))
+            self.assertTrue(
+                all(self.world.replies[token].results[0].is_accepted for token in tokens)
+            )
             self.world.run(seconds(1))
             held = {
-                (configuration["version"], configuration["tree"]["settings"]["deadline_ms"])
+                (configuration.version, configuration.tree["settings"]["deadline_ms"])
                 for configuration in (
                     self.world.seats[f"r{number}"].node.registry.tables.configuration
                     for number in range(5)
--- a/tests/state/test_repeated_orders.py
+++ b/tests/state/test_repeated_orders.py
@@ -9,8 +9,12 @@
 from tests.support.operation_log import Log
 from tests.support.registry_world import World
 from willowpost.sim.world import seconds
-from willowpost.state.configuration_changes import MAX_CHANGES, MAX_VERSION
-from willowpost.state.lifecycle import SUPERSEDED
+from willowpost.state.configuration_changes import (
+    MAX_CHANGES,
+    MAX_VERSION,
+    ConfigurationProposal,
+)
+from willowpost.state.results import Reason
 from willowpost.state.tables import Tables, tables_from
 
 PATH = "/v1/configuration"
@@ -25,7 +29,7 @@
         self.log = Log()
 
     def put(self, tries, **more):
-        return self.log.put(op="configuration", tree=settings(tries), **more)
+        return self.log.put(ConfigurationProposal(tree=settings(tries), **more))
 
     def test_a_repeat_has_the_version_of_the_first_answer_whatever_came_meanwhile(self):
         self.put(1)
@@ -33,64 +37,64 @@
         self.put(3, if_match=2)
         self.log.tables = tables_from(self.log.tables.text())
         again = self.put(2, if_match=1)
-        self.assertEqual((True, True), (first["ok"], again["ok"]))
-        self.assertEqual((2, 2, 3), (first["version"], again["version"], again["held"]))
-        self.assertEqual(3, self.log.tables.configuration["version"])
+        self.assertEqual((True, True), (first.is_accepted, again.is_accepted))
+        self.assertEqual((2, 2, 3), (first.version, again.version, again.version_in_force))
+        self.assertEqual(3, self.log.tables.configuration.version)
 
     def test_what_is_no_repeat_stays_refused(self):
         self.put(1)
         self.put(2, if_match=1)
-        self.assertFalse(self.put(3, if_match=1)["ok"])
-        self.assertFalse(self.put(1, if_match=1)["ok"])
-        self.assertFalse(self.put(2, if_match=7)["ok"])
-        self.assertEqual(2, self.log.tables.configuration["version"])
+        self.assertFalse(self.put(3, if_match=1).is_accepted)
+        self.assertFalse(self.put(1, if_match=1).is_accepted)
+        self.assertFalse(self.put(2, if_match=7).is_accepted)
+        self.assertEqual(2, self.log.tables.configuration.version)
 
     def test_the_last_accepted_changes_are_known_and_no_more(self):
         self.put(0)
         for number in range(1, MAX_CHANGES + 2):
             self.put(number, if_match=number)
-        self.assertEqual(MAX_CHANGES, len(self.log.tables.changes.changes))
-        self.assertFalse(self.put(1, if_match=1)["ok"])
-        self.assertTrue(self.put(2, if_match=2)["ok"])
+        self.assertEqual(MAX_CHANGES, len(self.log.tables.configuration_changes.changes))
+        self.assertFalse(self.put(1, if_match=1).is_accepted)
+        self.assertTrue(self.put(2, if_match=2).is_accepted)
 
     def test_what_was_left_behind_a_cut_undoes_nothing_newer_but_is_known_if_it_was_taken(self):
         self.put(1)
-        self.put(2, as_of_version=1, key="k")
-        late = self.put(3, as_of_version=1)
-        self.assertEqual((False, SUPERSEDED), (late["ok"], late["why"]))
-        self.assertEqual(2, self.put(2, as_of_version=1, key="k")["version"])
-        self.assertEqual(3, self.put(3, as_of_version=2)["version"])
+        self.put(2, known_version=1, key="k")
+        late = self.put(3, known_version=1)
+        self.assertEqual((False, Reason.SUPERSEDED), (late.is_accepted, late.reason))
+        self.assertEqual(2, self.put(2, known_version=1, key="k").version)
+        self.assertEqual(3, self.put(3, known_version=2).version)
 
     def test_an_idempotency_key_names_one_change(self):
         first = self.put(1, key="k")
         self.put(2)
         again = self.put(1, key="k")
-        self.assertEqual((1, 1, False), (first["version"], again["version"], again["changed"]))
-        self.assertFalse(self.put(3, key="k")["ok"])
-        self.assertEqual(2, self.log.tables.configuration["version"])
+        self.assertEqual((1, 1, False), (first.version, again.version, again.is_changed))
+        self.assertFalse(self.put(3, key="k").is_accepted)
+        self.assertEqual(2, self.log.tables.configuration.version)
 
     def test_the_highest_number_has_no_next_one(self):
         self.put(1, version=MAX_VERSION)
-        self.assertFalse(self.put(2)["ok"])
-        self.assertTrue(self.put(1, version=MAX_VERSION)["ok"])
-        self.assertEqual(MAX_VERSION, self.log.tables.configuration["version"])
+        self.assertFalse(self.put(2).is_accepted)
+        self.assertTrue(self.put(1, version=MAX_VERSION).is_accepted)
+        self.assertEqual(MAX_VERSION, self.log.tables.configuration.version)
 
     def test_a_configuration_that_an_earlier_build_accepted_is_compared_by_its_content(self):
         self.put(1, version=5)
         held = json.loads(self.log.tables.text())
         del held["changes"]
         self.log.tables = tables_from(json.dumps(held))
-        self.assertTrue(self.put(1, version=5)["ok"])
-        self.assertFalse(self.put(2, version=5)["ok"])
+        self.assertTrue(self.put(1, version=5).is_accepted)
+        self.assertFalse(self.put(2, version=5).is_accepted)
 
     def test_a_number_that_is_not_above_needs_no_tree_and_is_compared_by_its_digest(self):
         self.put(1, version=5)
-        content = self.log.tables.changes.newest().content
+        content = self.log.tables.configuration_changes.newest().content
         for version, digest, taken in ((5, content, True), (5, "x", False), (4, "x", True)):
-            answer = self.log.put(op="configuration", version=version, content=digest)
-            self.assertEqual(taken, answer["ok"], (version, digest))
-        self.assertEqual(settings(1), self.log.tables.configuration["tree"])
-        self.assertFalse(self.log.put(op="configuration", version=6, content="x")["ok"])
+            result = self.log.put(ConfigurationProposal(version=version, content=digest))
+            self.assertEqual(taken, result.is_accepted, (version, digest))
+        self.assertEqual(settings(1), self.log.tables.configuration.tree)
+        self.assertFalse(self.log.put(ConfigurationProposal(version=6, content="x")).is_accepted)
 
     def test_the_changes_are_in_the_text_of_the_tables(self):
         self.put(1, key="k")
--- a/tests/support/served.py
+++ b/tests/support/served.py
@@ -27,6 +27,7 @@
 from willowpost.proxy.routing.snapshot import OriginCard, RoutingSnapshot, ServiceCard
 from willowpost.proxy.routing.tries import Tries
 from willowpost.shell.web import WebServer
+from willowpost.state.entries import Ownership
 from willowpost.state.tables import Tables
 
 CONFIGURATION = {
@@ -130,7 +131,7 @@
         self.pool = ConnectionPool(self.clock)
         self.set_origins(origins)
         self.node_state.tables = Tables(
-            slot=5, epoch=1, fences={"quota_share/g": {"owner": "p", "fence": 1}}
+            slot=5, epoch=1, ownerships={"quota_share/g": Ownership("p", 1)}
         )
         self.node_state.grants = {"g": Grant(1000.0, self.clock.now() + 10**12, 1)}
         self.allowance = Allowance(self.node_state)
@@ -146,7 +147,7 @@
         )
         carrier = Carrier(self.node_state, self.cache, self.clock, tries, self.stats)
         logger = type(
-            "Quiet", (), {"say": lambda self, *a, **k: self.held.append((a, k)), "held": []}
+            "Quiet", (), {"log": lambda self, *a, **k: self.held.append((a, k)), "held": []}
         )()
         self.logger = logger
         self.front = Front(
--- a/tests/system/test_configuration_read_back.py
+++ b/tests/system/test_configuration_read_back.py
@@ -242,7 +242,7 @@
                 {"op": "replace", "path": "/branches/art/settings/service", "value": "nowhere"}
             ]
             self.assertEqual(200, self.calls.call("PATCH", "/v1/configuration", change).code)
-        tree = self.calls.world.seats["r0"].node.registry.tables.configuration["tree"]
+        tree = self.calls.world.seats["r0"].node.registry.tables.configuration.tree
         self.assertTrue(ConfigurationChecker().check(json.dumps(tree).encode()).is_err())
 
     def test_an_over_large_one_is_refused_before_it_is_read(self):
--- a/tests/system/test_exhaustive_faults.py
+++ b/tests/system/test_exhaustive_faults.py
@@ -2,18 +2,30 @@
 
 import itertools
 import unittest
+from dataclasses import replace
 
+from tests.support.entries import daemon_entry, member
 from willowpost.common.events import Received, Tick
-from willowpost.consensus.replica.replica_state import ReplicaTuning, ReplicaState
+from willowpost.consensus.replica.replica_state import ReplicaState, ReplicaTuning
 from willowpost.consensus.replica.voting import Voting
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.fault_schedules import CoreFaultSchedule
 from willowpost.sim.fleet.fault_schedule import FleetFaultSchedule
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
-from willowpost.state.apply.voters import replace_voter
+from willowpost.state.apply import apply_operation
+from willowpost.state.entries import PreviousVoters
+from willowpost.state.lifecycle import DaemonState
+from willowpost.state.operations import ReplaceVoter
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import CatchupRequest, BallotState, Command, Member, QuorumReadRequest, QuorumReadResponse
+from willowpost.wire.messages import (
+    BallotState,
+    CatchupRequest,
+    Command,
+    Member,
+    QuorumReadRequest,
+    QuorumReadResponse,
+)
 
 TWO_REGIONS = {"a": "east", "b": "east", "c": "west", "d": "west"}
 
@@ -113,11 +125,11 @@
         """
         world = opened()
 
-        def card():
+        def daemon():
             return world.seats["r0"].node.registry.tables.daemons["e1/proxy"]
 
         world.cut(["e1"], [name for name in world.seats if name != "e1"])
-        self.assertTrue(world.until(lambda: card()["state"] == "lost", seconds(6)))
+        self.assertTrue(world.until(lambda: daemon().state is DaemonState.LOST, seconds(6)))
         for name in [name for name in world.seats if name not in ("e1", "caller", *world.origins)]:
             world.crash(name)
             world.start(name)
@@ -127,7 +139,7 @@
             world.until(
                 lambda: (
                     "e1/proxy" in world.seats["r0"].node.registry.tables.daemons
-                    and card()["state"] == "up"
+                    and daemon().state is DaemonState.UP
                 ),
                 seconds(10),
             )
@@ -138,19 +150,18 @@
 
         Nobody could take that back.
         """
-        member = {"identity": "old", "name": "s4", "zone": "a", "address": "s4"}
-        card = {"id": "e2/proxy", "kind": "proxy", "name": "e2", "state": "lost"}
-        learner = {"id": "new", "kind": "store", "name": "s4", "state": "up"}
+        voter = Member("old", "s4", "a", "s4")
+        lost = daemon_entry("e2/proxy", kind="proxy", name="e2", state=DaemonState.LOST)
+        learner = daemon_entry("new", name="s4")
         tables = Tables(
             epoch=1,
-            core=(member,),
-            daemons={"e2/proxy": card, "new": learner},
-            suspicions={"e2/proxy": {"old": True}, "old": {"e2/proxy": True}},
+            voters=(voter,),
+            daemons={"e2/proxy": lost, "new": learner},
+            suspicions={"e2/proxy": frozenset({"old"}), "old": frozenset({"e2/proxy"})},
         )
-        swapped, answer = replace_voter(
-            tables, {"old": "old", "new": {**member, "identity": "new"}}
-        )
-        self.assertTrue(answer["ok"])
+        operation = ReplaceVoter("old", replace(voter, identity="new"))
+        swapped, result = apply_operation(tables, operation)
+        self.assertTrue(result.is_accepted)
         self.assertEqual({}, swapped.suspicions)
 
     def test_a_new_epochs_first_slot_waits_for_the_former_voters(self):
@@ -159,17 +170,14 @@
         A read by one who has not heard of it could miss it.
         """
 
-        def member(name):
-            return {"identity": name, "name": name, "zone": name, "address": name}
-
-        former = [member(name) for name in "abcde"]
+        previous = tuple(member(name, zone=name) for name in "abcde")
         node_state = ReplicaState(Member("a", "a", "a", "a"))
         node_state.take(
             Tables(
                 slot=10,
                 epoch=2,
-                core=(*tuple(former[:4]), member("f")),
-                former={"slot": 9, "core": former},
+                voters=(*previous[:4], member("f", zone="f")),
+                previous_voters=PreviousVoters(9, previous),
             )
         )
         node_state.queue.push(Command("x", 1, 1, 1, "[]"), 0)
--- a/tests/system/test_fleet_guarantees.py
+++ b/tests/system/test_fleet_guarantees.py
@@ -7,6 +7,7 @@
 from dataclasses import replace
 from unittest.mock import patch
 
+from tests.support.draining_origins import make_with_draining
 from willowpost.common.clock import SECOND
 from willowpost.proxy.admission.verdict import Let
 from willowpost.proxy.cache.storing import Storing
@@ -16,8 +17,7 @@
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import seconds
-from willowpost.state.apply import OPS
-from willowpost.state.apply.origins import register
+from willowpost.state.apply.origin_registration import register
 
 
 def opened(seed=3, **more):
@@ -193,7 +193,7 @@
     world.rate = 900
     world.run(seconds(3))
     tables = world.seats["r0"].node.registry.tables
-    for owner in {card["owner"] for card in tables.fences.values()}:
+    for owner in {ownership.owner for ownership in tables.ownerships.values()}:
         world.crash(owner.split("/")[0])
     world.run(seconds(8))
 
@@ -205,7 +205,7 @@
     """
     world.rate = 900
     world.run(seconds(3))
-    owner = world.seats["r0"].node.registry.tables.fences["quota_share/apps"]["owner"].split("/")[0]
+    owner = world.seats["r0"].node.registry.tables.ownerships["quota_share/apps"].owner.split("/")[0]
     world.cut(
         [owner],
         [
@@ -271,7 +271,7 @@
     (content_replaced, {"willowpost.proxy.cache.store.Entry.fresh": always(True)}, "keep time"),
     (
         origin_leaves,
-        {"willowpost.proxy.routing.snapshot.FORCE": {"cold", "warm", "draining"}},
+        {"willowpost.proxy.routing.snapshot.SnapshotMaker.make": make_with_draining},
         "after it left",
     ),
     (
@@ -301,10 +301,9 @@
     (
         address_moves_behind_a_cut,
         {
-            "willowpost.state.apply.OPS": {
-                **OPS,
-                "register": lambda tables, op: register(replace(tables, bound={}), op),
-            }
+            "willowpost.state.apply.origin_registration.register": lambda tables, *operation: (
+                register(replace(tables, address_bindings={}), *operation)
+            )
         },
         "reached",
     ),
@@ -347,7 +346,7 @@
             world.crash(name)
         with (
             patch.object(
-                SnapshotMaker, "make", lambda self, tables: make(self, replace(tables, zones={}))
+                SnapshotMaker, "make", lambda self, tables: make(self, replace(tables, zone_evacuations={}))
             ),
             self.assertRaisesRegex(Broken, "emptied zone"),
         ):
--- a/tests/system/test_large_configurations.py
+++ b/tests/system/test_large_configurations.py
@@ -10,6 +10,7 @@
 from willowpost.configuration.checker import BYTES_MOST, ConfigurationChecker
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
+from willowpost.state.operations import PurgeCache
 
 
 def large(routes, depth=1):
@@ -113,8 +114,8 @@
             for number in range(900):
                 world.operate(
                     number % 5,
-                    {"op": "purge", "kind": "item", "host": "*", "path": f"/art/{second}-{number}"},
-                    lambda answer: None,
+                    PurgeCache(kind="item", host="*", path=f"/art/{second}-{number}"),
+                    lambda result: None,
                 )
             world.run(seconds(1))
             sizes.append(len(world.seats["r0"].node.registry.tables.text()))
--- a/tests/system/test_partitioned_control_machine.py
+++ b/tests/system/test_partitioned_control_machine.py
@@ -5,23 +5,44 @@
 from dataclasses import dataclass, replace
 from unittest.mock import patch
 
+from tests.support.entries import daemon_entry, origin_entry
 from tests.support.registry_world import World
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import SubmitOperations, Received, Tick, WithdrawSubmission
+from willowpost.common.events import Received, SubmitOperations, Tick, WithdrawSubmission
 from willowpost.common.rendezvous import Rendezvous
-from willowpost.node.command_client import AVOID_FOR, RETRY_AFTER, CommandClient
+from willowpost.node.command_client import AVOID_FOR, RETRY_AFTER, CommandClient, SubmissionOutcome
 from willowpost.registry.origin_health import OriginHealthMonitor
 from willowpost.shell.runner import Runner
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
-from willowpost.state.apply import OPS, StateMachine
-from willowpost.state.apply.configurations import configuration
-from willowpost.state.apply.daemons import suspicion
-from willowpost.state.apply.operators import zone
-from willowpost.state.apply.origins import register, turn
-from willowpost.state.lifecycle import SUPERSEDED
+from willowpost.state.apply import StateMachine, apply_operation, recorded_results
+from willowpost.state.apply.configurations import propose
+from willowpost.state.apply.daemons import report_suspicion
+from willowpost.state.apply.evacuations import evacuate
+from willowpost.state.apply.origin_registration import register
+from willowpost.state.apply.state_machine import HANDLERS
+from willowpost.state.apply.transition import Transition
+from willowpost.state.codec import encode_results
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.entries import ZoneEvacuation
+from willowpost.state.lifecycle import DaemonState
+from willowpost.state.operations import (
+    ChangeOriginState,
+    EndOrigin,
+    EvacuateZone,
+    RegisterOrigin,
+    RemoveDaemon,
+    ReportSuspicion,
+)
+from willowpost.state.results import Accepted, PurgeAccepted, Reason, Rejected
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import CommandAccepted, OriginHeartbeat, SubmitCommand
+from willowpost.wire.messages import (
+    Command,
+    CommandAccepted,
+    Decision,
+    OriginHeartbeat,
+    SubmitCommand,
+)
 
 CALLERS_SECOND = SECOND
 AT_ONCE = 100 * MILLI
@@ -190,7 +211,7 @@
 
 class LateOrders(CutOff):
     def zone(self, registry="r1"):
-        return self.world.seats[registry].node.registry.tables.zones.get("b", {})
+        return self.world.seats[registry].node.registry.tables.zone_evacuations.get("b")
 
     def late_order(self):
         """Whether the zone is empty after a cut that held back an older order to empty it."""
@@ -203,13 +224,16 @@
         self.world.run(CUT_SPAN)
         self.world.heal()
         self.world.run(5 * SECOND)
-        return [self.zone(name)["empty"] for name in ("r0", "r1")]
+        return [self.zone(name).is_evacuated for name in ("r0", "r1")]
 
     def test_an_order_left_behind_the_cut_takes_no_effect_after_a_newer_one(self):
         self.assertEqual([False, False], self.late_order())
 
     def test_without_the_fence_it_does(self):
-        with patch.dict(OPS, zone=lambda tables, op: zone(tables, {**op, "as_of": None})):
+        def unfenced(tables, operation):
+            return evacuate(tables, replace(operation, known_slot=None))
+
+        with patch.dict(HANDLERS, {EvacuateZone: unfenced}):
             self.assertEqual([True, True], self.late_order())
 
     def test_with_nothing_newer_it_may_take_effect_late_but_once(self):
@@ -219,9 +243,9 @@
         self.world.run(CUT_SPAN)
         self.world.heal()
         self.world.run(5 * SECOND)
-        slot = self.zone().get("slot")
+        order = self.zone()
         self.world.run(5 * SECOND)
-        self.assertEqual(slot, self.zone().get("slot"))
+        self.assertEqual(order, self.zone())
 
     def test_who_is_behind_follows_and_asks_again_while_its_caller_waits(self):
         self.open()
@@ -230,7 +254,7 @@
             told = self.told("POST", f"/v1/zones/b/{action}", first=number % 2)
             self.assertEqual((200, empty), (told.code, told.value["empty"]))
         self.world.run(SECOND)
-        self.assertFalse(self.zone()["empty"])
+        self.assertFalse(self.zone().is_evacuated)
 
     def late_configuration(self):
         """The configuration after a cut that held back an older one that required no version."""
@@ -251,10 +275,10 @@
         self.assertEqual((0, self.world.configuration["settings"]), self.late_configuration())
 
     def test_without_the_fence_it_replaces_it(self):
-        def unfenced(tables, op):
-            return configuration(tables, {**op, "as_of_version": None})
+        def unfenced(tables, proposal):
+            return propose(tables, replace(proposal, known_version=None))
 
-        with patch.dict(OPS, configuration=unfenced):
+        with patch.dict(HANDLERS, {ConfigurationProposal: unfenced}):
             self.assertEqual((1, {"deadline_ms": 1234}), self.late_configuration())
 
     def late_registration(self):
@@ -279,7 +303,10 @@
         self.assertTrue(self.late_registration())
 
     def test_without_the_fence_it_ends_it(self):
-        with patch.dict(OPS, register=lambda tables, op: register(tables, {**op, "as_of": None})):
+        def unfenced(tables, operation, index):
+            return register(tables, replace(operation, known_slot=None), index)
+
+        with patch("willowpost.state.apply.origin_registration.register", unfenced):
             self.assertFalse(self.late_registration())
 
 
@@ -331,7 +358,7 @@
     def held(self, registry="r1"):
         tables = self.world.seats[registry].node.registry.tables
         token = self.origin["token"]
-        return [token for card in tables.origins.values() if card.get("token") == token]
+        return [token for origin in tables.origins.values() if origin.token == token]
 
     def beat_elsewhere(self, span):
         """The origin goes on to r1 for so long, as it must when r0 refuses its beat."""
@@ -433,8 +460,8 @@
             daemons = world.seats["r0"].node.registry.tables.daemons
             lost |= {
                 name
-                for name, card in daemons.items()
-                if card["state"] == "lost" and card["zone"] not in ("b", "c")
+                for name, daemon in daemons.items()
+                if daemon.state is DaemonState.LOST and daemon.zone not in ("b", "c")
             }
         return lost
 
@@ -442,29 +469,36 @@
         self.assertEqual(set(), self.held_lost(3))
 
     def test_if_the_lost_may_suspect_it_has(self):
-        def unguarded(tables, op):
-            watcher = tables.daemons.get(op["watcher"], {})
-            daemons = {**tables.daemons, op["watcher"]: {**watcher, "state": "up"}}
-            changed, answer = suspicion(replace(tables, daemons=daemons), op)
-            restored = {**changed.daemons, op["watcher"]: watcher}
-            return replace(changed, daemons=restored), answer
-
-        with patch.dict(OPS, suspicion=unguarded):
+        def unguarded(tables, operation):
+            watcher = tables.daemons.get(operation.watcher)
+            if watcher is None:
+                return report_suspicion(tables, operation)
+            daemons = {**tables.daemons, watcher.id: replace(watcher, state=DaemonState.UP)}
+            changed, result = report_suspicion(replace(tables, daemons=daemons), operation)
+            restored = {**changed.daemons, watcher.id: watcher}
+            return Transition(replace(changed, daemons=restored), result)
+
+        with patch.dict(HANDLERS, {ReportSuspicion: unguarded}):
             self.assertNotEqual(set(), self.held_lost(3))
 
     def test_only_a_watcher_that_is_not_lost_suspects_and_any_may_take_it_back(self):
-        cards = {
-            name: {"incarnation": 1, "state": "up", "name": name, "kind": "registry"}
-            for name in ("one", "two", "target")
+        daemons = {
+            name: daemon_entry(name, kind="registry", state=state)
+            for name, state in (
+                ("one", DaemonState.UP),
+                ("two", DaemonState.LOST),
+                ("target", DaemonState.UP),
+            )
         }
-        cards = {name: {**card, "zone": "a"} for name, card in cards.items()}
-        cards["two"]["state"] = "lost"
-        tables = Tables(daemons=cards)
-        op = {"target": "target", "incarnation": 1, "watcher": "two", "suspected": True}
-        self.assertFalse(suspicion(tables, op)[1]["ok"])
-        tables, told = suspicion(tables, {**op, "watcher": "one"})
-        self.assertEqual(({"one": True}, True), (tables.suspicions["target"], told["ok"]))
-        self.assertTrue(suspicion(tables, {**op, "suspected": False})[1]["ok"])
+        tables = Tables(daemons=daemons)
+        report = ReportSuspicion("target", incarnation=1, watcher="two", is_suspected=True)
+        self.assertFalse(apply_operation(tables, report).result.is_accepted)
+        tables, result = apply_operation(tables, replace(report, watcher="one"))
+        self.assertEqual(
+            (frozenset({"one"}), True), (tables.suspicions["target"], result.is_accepted)
+        )
+        withdrawn = replace(report, is_suspected=False)
+        self.assertTrue(apply_operation(tables, withdrawn).result.is_accepted)
 
 
 class Submissions(unittest.TestCase):
@@ -491,86 +525,110 @@
         return sent
 
     def test_it_is_submitted_again_until_its_caller_gives_up(self):
-        self.step(SubmitOperations(1, ({"op": "x"},)))
+        self.step(SubmitOperations(1, (EndOrigin("x"),)))
         self.assertGreater(len(self.ticks(2 * SECOND)), 3)
         self.step(WithdrawSubmission(1))
         self.assertEqual(([], {}), (self.ticks(5 * SECOND), self.client.pending))
 
     def test_the_shell_withdraws_what_was_not_answered_in_time(self):
         runner = Runner("127.0.0.1:1", None)
-        self.assertIsNone(runner.ask({"op": "x"}, timeout=0.01))
+        self.assertIsNone(runner.ask(EndOrigin("x"), timeout=0.01))
         waiting = [runner.inbox.get_nowait() for _ in range(runner.inbox.qsize())]
-        self.assertEqual([SubmitOperations(1, ({"op": "x"},)), WithdrawSubmission(1)], waiting)
+        self.assertEqual([SubmitOperations(1, (EndOrigin("x"),)), WithdrawSubmission(1)], waiting)
 
     def test_given_up_before_it_was_stamped_it_is_never_submitted(self):
-        self.step(SubmitOperations(1, ({"op": "x"},)))
+        self.step(SubmitOperations(1, (EndOrigin("x"),)))
         self.step(WithdrawSubmission(1))
         self.assertEqual([], self.ticks(SECOND))
 
     def test_one_that_gives_up_takes_nothing_from_another(self):
         for token in (1, 2):
-            self.step(SubmitOperations(token, ({"op": str(token)},)))
+            self.step(SubmitOperations(token, (EndOrigin(str(token)),)))
         ((_, submitted),) = self.ticks(40 * MILLI)
         self.step(WithdrawSubmission(1))
         self.assertTrue(self.ticks(RETRY_AFTER + 20 * MILLI))
-        answers = json.dumps([{"ok": 1}, {"ok": 2}])
+        answers = json.dumps(encode_results((PurgeAccepted(1), PurgeAccepted(2))))
         plan = self.client.step(Received("a:1", CommandAccepted(submitted.command.key, 7, answers)), 0)
-        self.assertEqual([(2, {"slot": 7, "answers": [{"ok": 2}]})], plan.replies)
+        self.assertEqual([(2, SubmissionOutcome(7, (PurgeAccepted(2),)))], plan.replies)
 
     def test_what_nobody_waits_for_lasts_unless_it_expires_and_keeps_nothing_else_alive(self):
-        self.step(SubmitOperations(None, ({"op": "join"},)))
-        self.step(SubmitOperations(None, ({"op": "turn"},), SECOND))
-        self.step(SubmitOperations(1, ({"op": "zone"},)))
+        self.step(SubmitOperations(None, (RemoveDaemon("p", 1),)))
+        self.step(SubmitOperations(None, (ChangeOriginState("warm", "o"),), SECOND))
+        self.step(SubmitOperations(1, (EvacuateZone("b", is_evacuated=True),)))
         self.ticks(500 * MILLI)
         self.step(WithdrawSubmission(1))
         self.ticks(2 * SECOND)
         bodies = [entry.command.body for entry in self.client.pending.values()]
-        self.assertEqual(['[{"op":"join"}]'], bodies)
+        self.assertEqual(['[{"op":"leave","id":"p","incarnation":1}]'], bodies)
 
     def test_a_store_that_does_not_answer_is_tried_last_for_a_while(self):
-        self.step(SubmitOperations(1, ({"op": "x"},)))
+        self.step(SubmitOperations(1, (EndOrigin("x"),)))
         self.assertEqual(
             ["a:1", "b:1", "c:1"],
             [address for address, _ in self.ticks(2 * RETRY_AFTER + SECOND)][:3],
         )
         self.step(WithdrawSubmission(1))
         self.ticks(AVOID_FOR + SECOND)
-        self.step(SubmitOperations(2, ({"op": "x"},)))
+        self.step(SubmitOperations(2, (EndOrigin("x"),)))
         self.assertEqual(["a:1"], [address for address, _ in self.ticks(40 * MILLI)])
 
 
 class Fences(unittest.TestCase):
     def test_a_zone_that_changed_since_is_left_as_it_is(self):
-        op = {"op": "zone", "zone": "b", "empty": True}
-        tables, _ = zone(Tables(slot=9), {**op, "empty": False})
-        for as_of, answer in ((9, {"ok": False, "why": SUPERSEDED}), (10, {"ok": True})):
-            changed, told = zone(tables, {**op, "as_of": as_of})
-            self.assertEqual((answer, as_of > 9), (told, changed.zones["b"]["empty"]))
-        same, told = zone(tables, {**op, "empty": False, "as_of": 3})
-        self.assertEqual(({"ok": True}, tables), (told, same))
+        order = EvacuateZone("b", is_evacuated=True)
+        tables, _ = evacuate(Tables(slot=9), replace(order, is_evacuated=False))
+        for known_slot, result in ((9, Rejected(Reason.SUPERSEDED)), (10, Accepted())):
+            changed, found = evacuate(tables, replace(order, known_slot=known_slot))
+            self.assertEqual(
+                (result, known_slot > 9), (found, changed.zone_evacuations["b"].is_evacuated)
+            )
+        same, found = evacuate(tables, replace(order, is_evacuated=False, known_slot=3))
+        self.assertEqual((Accepted(), tables), (found, same))
 
     def test_a_registration_from_before_a_later_one_there_is_turned_away(self):
-        op = {"address": "h:1", "service": "art", "zone": "a", "rate": 1.0, "cold_rate": 1.0}
-        tables, _ = register(Tables(slot=9), {**op, "token": "t2", "as_of": 9})
-        late, told = register(tables, {**op, "token": "t1", "as_of": 9})
-        self.assertEqual(({"ok": False, "why": SUPERSEDED}, tables), (told, late))
-        self.assertTrue(register(tables, {**op, "token": "t2", "as_of": 3})[1]["ok"])
-        self.assertTrue(register(tables, {**op, "token": "t3", "as_of": 10})[1]["ok"])
+        def registered(tables, token, known_slot):
+            return register(
+                tables,
+                RegisterOrigin(
+                    address="h:1",
+                    service="art",
+                    zone="a",
+                    rate=1.0,
+                    slow_start_rate=1.0,
+                    token=token,
+                    known_slot=known_slot,
+                ),
+                index=0,
+            )
+
+        tables, _ = registered(Tables(slot=9), "t2", 9)
+        late, result = registered(tables, "t1", 9)
+        self.assertEqual((Rejected(Reason.SUPERSEDED), tables), (result, late))
+        self.assertTrue(registered(tables, "t2", 3).result.is_accepted)
+        self.assertTrue(registered(tables, "t3", 10).result.is_accepted)
 
     def test_silence_counts_only_on_the_word_of_a_registry_that_is_up(self):
         tables = Tables(
-            origins={"o": {"state": "warm"}},
-            daemons={"up": {"state": "up"}, "lost": {"state": "lost"}},
+            origins={"o": origin_entry()},
+            daemons={
+                "up": daemon_entry("up"),
+                "lost": daemon_entry("lost", state=DaemonState.LOST),
+            },
         )
-        op = {"origin": "o", "state": "gone", "silent": True}
-        for by, gone in (("lost", False), ("nobody", False), ("up", True)):
-            self.assertEqual(gone, not turn(tables, {**op, "by": by})[0].origins, by)
+        gone = ChangeOriginState("gone", "o", timed_out=True)
+        for registry, is_gone in (("lost", False), ("nobody", False), ("up", True)):
+            after = apply_operation(tables, replace(gone, registry=registry)).tables
+            self.assertEqual(is_gone, not after.origins, registry)
 
     def test_malformed_fences_change_nothing(self):
-        for op in ({"op": "zone", "zone": "b", "empty": True, "as_of": "x"},):
-            tables = Tables(slot=9, zones={"b": {"empty": False, "slot": 1, "what": "all"}})
-            changed, told = StateMachine()._change(tables, op, 0)
-            self.assertEqual((False, tables), (told["ok"], changed))
+        for operation in ({"op": "zone", "zone": "b", "empty": True, "as_of": "x"},):
+            evacuations = {"b": ZoneEvacuation(is_evacuated=False, slot=1, scope="all")}
+            tables = Tables(slot=9, zone_evacuations=evacuations)
+            command = Command("r", 1, 1, 1, json.dumps([operation]))
+            applied = StateMachine().apply(tables, Decision(9, command.key, command))
+            (result,) = recorded_results(applied, command).results
+            unchanged = replace(applied, slot=9, command_histories={})
+            self.assertEqual((False, tables), (result.is_accepted, unchanged))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_planned_restarts.py
+++ b/tests/system/test_planned_restarts.py
@@ -6,6 +6,8 @@
 import unittest
 from unittest.mock import patch
 
+from tests.support.draining_origins import make_with_draining
+from willowpost.proxy.routing.snapshot import SnapshotMaker
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
 
@@ -84,7 +86,7 @@
     def test_without_heed_of_the_drain_what_is_in_flight_is_lost(self):
         world = rush()
         with (
-            patch("willowpost.proxy.routing.snapshot.FORCE", {"cold", "warm", "draining"}),
+            patch.object(SnapshotMaker, "make", make_with_draining),
             self.assertRaises(AssertionError),
         ):
             self.release(world)
--- a/tests/system/test_quota_share_shifts.py
+++ b/tests/system/test_quota_share_shifts.py
@@ -24,7 +24,7 @@
         def lose():
             owner = (
                 world.seats["r0"]
-                .node.registry.tables.fences["quota_share/art"]["owner"]
+                .node.registry.tables.ownerships["quota_share/art"].owner
                 .split("/")[0]
             )
             world.crash(owner)
--- a/tests/system/test_single_fault_kinds.py
+++ b/tests/system/test_single_fault_kinds.py
@@ -13,6 +13,8 @@
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import World, seconds
 from willowpost.state.apply.configurations import _accepted
+from willowpost.state.apply.transition import Transition
+from willowpost.state.results import ConfigurationAccepted
 
 
 class Alone(unittest.TestCase):
@@ -93,7 +95,7 @@
         world.open()
         world.empty_zone(0, "b", True)
         world.run(seconds(1))
-        nothing = {"zones": {}}
+        nothing = {"zone_evacuations": {}}
         for name in world.registries:
             node_state = world.seats[name].node.registry
             node_state.tables = type(node_state.tables)(
@@ -107,21 +109,22 @@
             world.readers.judge()
 
     def test_two_contents_confirmed_under_one_number_are_caught(self):
-        def confirmed(tables, refusal):
-            return tables, {"ok": True, "version": tables.configuration["version"]}
+        def confirmed(tables, reason):
+            version = tables.configuration.version
+            return Transition(tables, ConfigurationAccepted(version, is_changed=False))
 
         with (
-            patch("willowpost.state.apply.configurations._refused", confirmed),
+            patch("willowpost.state.apply.configurations._rejected", confirmed),
             self.assertRaisesRegex(Broken, "history of configuration has no explanation"),
         ):
             FleetFaultSchedule(1, only=("numbered_race",), rounds=4, every=True).run()
 
     def test_a_conditional_change_that_overwrites_another_is_caught(self):
         def always(tables, proposal):
-            return _accepted(tables, proposal, tables.configuration["version"] + 1)
+            return _accepted(tables, proposal, tables.configuration.version + 1)
 
         with (
-            patch("willowpost.state.apply.configurations._with_the_next_version", always),
+            patch("willowpost.state.apply.configurations._with_next_version", always),
             self.assertRaisesRegex(Broken, "history of configuration has no explanation"),
         ):
             FleetFaultSchedule(1, only=("conditional_race",), rounds=4, every=True).run()
@@ -159,7 +162,7 @@
         return plan
 
 
-class HeartbeatReceived:
+class MessageCounter:
     def __init__(self):
         self.messages = 0
 
@@ -172,7 +175,7 @@
     def world(self):
         world = World(1)
         world.add("writer", lambda *state: Written())
-        world.add("other", lambda *state: HeartbeatReceived())
+        world.add("other", lambda *state: MessageCounter())
         return world
 
     def test_nothing_is_said_while_a_write_waits(self):
--- a/tests/system/test_small_allowances.py
+++ b/tests/system/test_small_allowances.py
@@ -61,7 +61,7 @@
         for number in range(12):
             owner = (
                 world.seats["r0"]
-                .node.registry.tables.fences["quota_share/apps"]["owner"]
+                .node.registry.tables.ownerships["quota_share/apps"].owner
                 .split("/")[0]
             )
             fault = number % 3
--- a/tests/system/test_stale_tables.py
+++ b/tests/system/test_stale_tables.py
@@ -9,6 +9,7 @@
 
 from greenlet import getcurrent, greenlet
 
+from tests.support.entries import member
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import TOO_OLD, Follower
@@ -114,11 +115,8 @@
 
     def _follower(self):
         state = NodeState(DaemonDescriptor("p", "proxy", "edge", "p", "a", "p:1", "p:2", 1))
-        core = tuple(
-            {"identity": f"v{number}", "name": f"v{number}", "zone": "a", "address": f"v{number}:1"}
-            for number in range(3)
-        )
-        state.tables = Tables(slot=5, epoch=1, core=core)
+        voters = tuple(member(f"v{number}", address=f"v{number}:1") for number in range(3))
+        state.tables = Tables(slot=5, epoch=1, voters=voters)
         return state, QuorumRead(state, Follower(state, ["s:1"], tree=False))
 
     def _age(self, delay):
--- a/tests/toolbox/test_folder_checker.py
+++ b/tests/toolbox/test_folder_checker.py
@@ -7,6 +7,7 @@
 from willowpost.shell.segment_format import segment_of
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
+from willowpost.state.operations import EvacuateZone
 from willowpost.toolbox.folder import FolderChecker, LogReplay
 
 
@@ -17,7 +18,7 @@
         world.until(world.bootstrapped, seconds(5))
         world.add_caller("r", list(world.names))
         for number in range(12):
-            world.ask("r", {"op": "zone", "zone": f"z{number}", "empty": True})
+            world.ask("r", EvacuateZone(f"z{number}", is_evacuated=True))
             world.run(seconds(0.2))
         cls.records = world.seats["s0"].disk.records
         cls.tables = world.seats["s0"].node.node_state.tables
