--- a/tests/test_compatibility_outside.py
+++ b/tests/compatibility/test_outside_views.py
@@ -4,9 +4,9 @@
 import unittest
 from pathlib import Path
 
-import outside_views as views
+from tests.support import outside_views as views
 
-DATA = Path(__file__).parent / "data" / "bf1d9c7"
+DATA = Path(__file__).parent.parent / "data" / "bf1d9c7"
 # what the platform reads of a role in its deploy file and what must go on fitting its machines
 DEPLOYED = ("run", "on", "serves", "metrics")
 
--- a/tests/data/bf1d9c7/generate_outside.py
+++ b/tests/data/bf1d9c7/generate_outside.py
@@ -9,10 +9,10 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[2]))
 
-import outside_views as views
 import test_platform_config
 import test_settings
 
+from tests.support import outside_views as views
 from willowpost.configuration.model import Settings
 from willowpost.history.codec import write_history
 from willowpost.history.records import Answer, Call, Operation, Outcome, Request
--- a/tests/outside_views.py
+++ b/tests/support/outside_views.py
@@ -13,13 +13,13 @@
 from importlib.resources import files
 from pathlib import Path
 
-sys.path.append(str(Path(__file__).resolve().parents[1] / "platform"))
+sys.path.append(str(Path(__file__).resolve().parents[2] / "platform"))
 
 from adapter.configuration import ConfigurationTranslator
 from adapter.settings import SettingsReader as PlatformSettingsReader
-from served import ScriptedOrigin, ServedProxy, answer
-from test_registry import World
 
+from tests.support.registry_world import World
+from tests.support.served import ScriptedOrigin, ServedProxy, answer
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.configuration.routes import routes_of
 from willowpost.drill.deployment import Deployment
@@ -33,7 +33,7 @@
 from willowpost.state.configuration_changes import content_digest
 from willowpost.state.tables import tables_from
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[2]
 NOW = 10_000_000
 
 
