--- a/src/willowpost/drill/capacity/simulated_peers.py
+++ b/src/willowpost/drill/capacity/simulated_peers.py
@@ -14,8 +14,8 @@
 class SimulatedPeers:
     """Sends polls, pings, quota requests and heartbeats as often as the controllers do.
 
-    Each peer has its own phase. tests/drill/test_capacity.py compares them with a run of the same size in
-    which every daemon is stepped.
+    Each peer has its own phase. tests/drill/test_capacity.py compares them with a run of the same
+    size in which every daemon is stepped.
     """
 
     def __init__(self, world, cards):
