--- a/tests/platform_adapter/test_translation_boundary.py
+++ b/tests/platform_adapter/test_translation_boundary.py
@@ -82,9 +82,11 @@
 # what speaks as the platform does: its stand-in, its tests, and the page that describes the way
 # between
 PLATFORMS = {
-    "tests/stand_ins_platform.py",
+    "tests/support/stand_ins_platform.py",
     "docs/design/platform.md",
-    *(f"tests/test_platform_{name}.py" for name in ("words", "config", "loopback")),
+    "tests/platform_adapter/test_configuration_translation.py",
+    "tests/platform_adapter/test_loopback.py",
+    "tests/platform_adapter/test_translation_boundary.py",
 }
 # the product's own names that a translation may call on: how it is started, what it is told, and
 # what it answers with
