--- a/tests/platform_adapter/test_translation_boundary.py
+++ b/tests/platform_adapter/test_translation_boundary.py
@@ -84,6 +84,9 @@
 PLATFORMS = {
     "tests/support/stand_ins_platform.py",
     "docs/design/platform.md",
+    # settings and documents of the platform, and what an earlier build made of them
+    "tests/data/bf1d9c7/generate_outside.py",
+    "tests/data/bf1d9c7/outside.json",
     "tests/platform_adapter/test_configuration_translation.py",
     "tests/platform_adapter/test_loopback.py",
     "tests/platform_adapter/test_translation_boundary.py",
