--- a/src/willowpost/drill/soak/run.py
+++ b/src/willowpost/drill/soak/run.py
@@ -12,7 +12,7 @@
 from willowpost.drill.rules import Findings
 from willowpost.drill.soak.callers import SoakCallers
 from willowpost.drill.soak.fleet import CONFIGURATION, HOST, SoakFleet, layout
-from willowpost.drill.soak.judge import Record, ShutdownRequested, SoakRules
+from willowpost.drill.soak.judge import Record, OriginShutdown, SoakRules
 from willowpost.drill.soak.schedule import Kind, Parts, Trouble, drawn
 from willowpost.stand_ins.callers import ask
 
@@ -213,7 +213,7 @@
         self._steer([address], "crash")
         self._steer([address], "start")
         if reply is not None and reply[0] == 200 and reply[2]:
-            self.record.leaves.append(ShutdownRequested(address, acknowledged_at, ended_at))
+            self.record.leaves.append(OriginShutdown(address, acknowledged_at, ended_at))
 
     def _change(self) -> bool:
         """Proposes another configuration; whether it was accepted."""
--- a/src/willowpost/model/invariants.py
+++ b/src/willowpost/model/invariants.py
@@ -218,8 +218,8 @@
     holding = sorted(facts.identity for facts in disks if facts.slot >= bound)
     raise Violation(
         DURABILITY,
-        f"all below slot {bound} was accepted; of the voters {sorted(electorates[0])} it stands only on "
-        f"the disks of {holding}",
+        f"all below slot {bound} was accepted; of the voters {sorted(electorates[0])} it stands "
+        f"only on the disks of {holding}",
     )
 
 
--- a/src/willowpost/model/scope.py
+++ b/src/willowpost/model/scope.py
@@ -48,7 +48,7 @@
 
     source: str
     target: str
-    kind: type
+    kind: type[object]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/willowpost/model/scopes.py
+++ b/src/willowpost/model/scopes.py
@@ -14,6 +14,7 @@
     suspected,
 )
 from willowpost.model.scope import Budget, Machine, Passes, Role, Scope, Ticks
+from willowpost.state.operations import Operation
 from willowpost.wire.messages import (
     BallotState,
     CatchupRequest,
@@ -30,7 +31,7 @@
 
 
 # s2 counts as lost, and is not: it runs on, and votes until it is replaced.
-_SUSPECTED_VOTER = (
+_SUSPECTED_VOTER: tuple[Operation, ...] = (
     *(joined(machine) for machine in WITH_LEARNER),
     suspected(WITH_LEARNER[2], WITH_LEARNER[0]),
     suspected(WITH_LEARNER[2], WITH_LEARNER[1]),
--- a/src/willowpost/registry/calls/origins.py
+++ b/src/willowpost/registry/calls/origins.py
@@ -145,7 +145,7 @@
             return _over()
         name = self._incarnation(origin, deadline)
         known = self.tables.origins.get(name)
-        state = GONE if known is None else known.state
+        state = GONE if known is None else known.state.value
         if name is not None and (origin.state != DRAINING or state == DRAINING):
             return self._heard(name, state, origin)
         if name is not None and origin.token is None:
--- a/tests/consensus/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -118,7 +118,7 @@
     def begun(self, core, parts=2):
         """Until s2 has so many pieces of the snapshot, but not all."""
         partial = core.partial("s2")
-        self.assertTrue(core.world.until(lambda: len(partial.pieces) >= parts, seconds(5)))
+        self.assertTrue(core.world.until(lambda: len(partial.chunks) >= parts, seconds(5)))
         return partial
 
     def test_another_source_finishes_what_one_that_died_began(self):
--- a/tests/shell/test_process_termination.py
+++ b/tests/shell/test_process_termination.py
@@ -14,14 +14,14 @@
 
 ENTRY = """
 import sys
-from willowpost.shell.structured_log import Logs
-from willowpost.shell.process_settings import Place
+from willowpost.shell.structured_log import StructuredLogger
+from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.serving import serve
 from willowpost.{kind}.daemon import {name}
-place = Place("m", "a", "127.0.0.1:{inner}", ("127.0.0.1:{seed}",), http="127.0.0.1:{http}", role="edge", data=sys.argv[1], voters=3,
+place = ProcessSettings("m", "a", "127.0.0.1:{inner}", ("127.0.0.1:{seed}",), http="127.0.0.1:{http}", role="edge", data=sys.argv[1], voters=3,
               drain_ms=500, finish_ms=300, leave_ms=200)
-logs = Logs("{kind}", "m")
-serve({name}(place, logs), logs)
+logger = StructuredLogger("{kind}", "m")
+serve({name}(place, logger), logger)
 """
 # least time to serve on
 KINDS = {
