--- a/src/willowpost/consensus/replica/acceptance.py
+++ b/src/willowpost/consensus/replica/acceptance.py
@@ -58,7 +58,7 @@
         return plan
 
     def _answer(self, plan):
-        safe = self.node_state.safe()
+        safe = self.node_state.safe_slot()
         for key, waiting in tuple(self.waiting.items()):
             outcome = self._outcome(waiting.command)
             if outcome is None or outcome.slot >= safe:
--- a/src/willowpost/consensus/replica/barrier.py
+++ b/src/willowpost/consensus/replica/barrier.py
@@ -34,7 +34,7 @@
 ) -> int:
     """The slot below which n - f of these n identities hold everything on disk."""
     held = sorted((synced_indexes.get(identity, 0) for identity in identities), reverse=True)
-    needed = thresholds(len(held)).heard
+    needed = thresholds(len(held)).quorum
     return held[needed - 1] if 0 < needed <= len(held) else 0
 
 
@@ -53,7 +53,7 @@
     return all(
         quorum_index(identities, node_state.synced_indexes, node_state.thresholds)
         >= first_slot(node_state.tables)
-        for identities in (previous_identities(node_state.tables), node_state.members)
+        for identities in (previous_identities(node_state.tables), node_state.voter_addresses)
     )
 
 
@@ -61,7 +61,8 @@
     """Whether a voter of the epoch in force has said that it holds the epoch's first slot."""
     begins = first_slot(node_state.tables)
     return any(
-        node_state.synced_indexes.get(identity, 0) > begins for identity in node_state.members
+        node_state.synced_indexes.get(identity, 0) > begins
+        for identity in node_state.voter_addresses
     )
 
 
@@ -76,9 +77,9 @@
     begins = first_slot(tables)
     return (
         tables.previous_voters is None
-        or node_state.passed >= tables.epoch
+        or node_state.passed_epoch >= tables.epoch
         or tables.slot > begins
-        or any(identity != node_state.me.identity for identity in node_state.heard)
+        or any(identity != node_state.member.identity for identity in node_state.ballot_states)
         or is_beyond(node_state)
         or holds_both_quorums(node_state)
     )
@@ -99,19 +100,19 @@
     def step(self, event, now: int) -> Plan:
         """On a tick: send the own synced index to all voters if they may still need it."""
         plan, node_state = Plan(), self.node_state
-        due = now - self.sent_at >= node_state.pace.synced_index
+        due = now - self.sent_at >= node_state.tuning.synced_index
         if isinstance(event, Tick) and due and self._may_be_needed():
             self.sent_at = now
-            index = SyncedIndex(node_state.me.identity, node_state.tables.slot)
-            plan.sends += [(address, index) for address in node_state.others()]
+            index = SyncedIndex(node_state.member.identity, node_state.tables.slot)
+            plan.sends += [(address, index) for address in node_state.other_addresses()]
         return plan
 
     def _may_be_needed(self) -> bool:
         node_state = self.node_state
         tables = node_state.tables
         return (
-            not node_state.voter
+            not node_state.is_voter
             and tables.slot == first_slot(tables)
-            and node_state.me.identity in previous_identities(tables)
+            and node_state.member.identity in previous_identities(tables)
             and not is_beyond(node_state)
         )
--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -50,7 +50,7 @@
         self.rights = rights
         self.seeds = seeds
         self.size = size
-        self.claims: dict[str, Member] = {node_state.me.identity: node_state.me}
+        self.claims: dict[str, Member] = {node_state.member.identity: node_state.member}
         self.bootstrap_promises: dict[str, tuple] = {}
         # addresses to greet; only first-hand claims may found
         self.heard_of: set[str] = set()
@@ -68,11 +68,11 @@
         plan = Plan()
         match event:
             case SettingsChanged(seeds=seeds, pace=pace):
-                self.seeds, self.node_state.pace = tuple(seeds), pace or self.node_state.pace
+                self.seeds, self.node_state.tuning = tuple(seeds), pace or self.node_state.tuning
             case Received(source, Hello() as hello):
                 self._hear(source, hello, plan)
             case Tick() if (
-                self.node_state.bootstrapped
+                self.node_state.is_bootstrapped
                 and self._without_source(now)
                 and now - self.sent_at >= WITHOUT_SOURCE_AFTER
             ):
@@ -80,22 +80,22 @@
                 plan.sends += [
                     (seed, self._hello(False))
                     for seed in self.seeds
-                    if seed != self.node_state.me.address
+                    if seed != self.node_state.member.address
                 ]
-            case Tick() if not self.node_state.bootstrapped and (
-                self.sent_at < 0 or now - self.sent_at >= self.node_state.pace.hello
+            case Tick() if not self.node_state.is_bootstrapped and (
+                self.sent_at < 0 or now - self.sent_at >= self.node_state.tuning.hello
             ):
                 self.sent_at = now
                 self._say(now, plan)
-        if not self.node_state.bootstrapped:
+        if not self.node_state.is_bootstrapped:
             self._found(plan)
         return plan
 
     def _may_bootstrap(self) -> bool:
         """Whether this store may bootstrap; a promise once made stays valid."""
-        return (self.rights.may_bootstrap and self._seat_of(self.node_state.me.address)) or bool(
-            self.node_state.bootstrap_promise
-        )
+        return (
+            self.rights.may_bootstrap and self._seat_of(self.node_state.member.address)
+        ) or bool(self.node_state.bootstrap_promise)
 
     def _seat_of(self, address) -> bool:
         """Whether the store at `address` may be a bootstrap member.
@@ -109,15 +109,15 @@
 
     def _hello(self, answer):
         node_state = self.node_state
-        if not node_state.bootstrapped and not self._may_bootstrap():
+        if not node_state.is_bootstrapped and not self._may_bootstrap():
             return Hello(answer=answer)
         known = node_state.tables.voters or tuple(self.claims.values())
         return Hello(
-            node_state.me.identity,
-            node_state.me.name,
-            node_state.me.zone,
-            node_state.me.address,
-            node_state.bootstrapped,
+            node_state.member.identity,
+            node_state.member.name,
+            node_state.member.zone,
+            node_state.member.address,
+            node_state.is_bootstrapped,
             answer,
             known,
             node_state.bootstrap_promise,
@@ -132,7 +132,7 @@
         }
         plan.sends += [
             (address, self._hello(False))
-            for address in sorted(addresses - {self.node_state.me.address})
+            for address in sorted(addresses - {self.node_state.member.address})
         ]
         # each time another voter: the first may be the very one that was lost
         tellers = sorted(self.bootstrapped_addresses)
@@ -147,18 +147,18 @@
         node_state = self.node_state
         if not hello.answer:
             plan.send(source, self._hello(True))
-        if hello.bootstrapped and node_state.bootstrapped:
+        if hello.bootstrapped and node_state.is_bootstrapped:
             # The voters known here are gone, or it would not have asked; the sender's are newer.
             strangers = {member.address for member in hello.known} - {
-                node_state.me.address,
-                *node_state.members.values(),
+                node_state.member.address,
+                *node_state.voter_addresses.values(),
             }
             plan.sends += [
                 (address, CatchupRequest(node_state.tables.slot)) for address in sorted(strangers)
             ]
         elif hello.bootstrapped:
             self.bootstrapped_addresses = {member.address for member in hello.known} - {
-                node_state.me.address
+                node_state.member.address
             }
         elif hello.identity and self._seat_of(hello.address):
             self._claim(Member(hello.identity, hello.name, hello.zone, hello.address))
@@ -175,7 +175,7 @@
         self.claims = {
             identity: claim
             for identity, claim in self.claims.items()
-            if claim.address != member.address or identity == self.node_state.me.identity
+            if claim.address != member.address or identity == self.node_state.member.identity
         }
         self.claims[member.identity] = member
 
@@ -183,7 +183,7 @@
         node_state = self.node_state
         if not node_state.bootstrap_promise and self._may_promise():
             self._promise(plan)
-        self.bootstrap_promises[node_state.me.identity] = node_state.bootstrap_promise
+        self.bootstrap_promises[node_state.member.identity] = node_state.bootstrap_promise
         members = tuple(
             MEMBER.decode(json.loads(member)) for member in node_state.bootstrap_promise
         )
@@ -209,7 +209,7 @@
         node_state = self.node_state
         ranked = sorted(self.claims.values(), key=lambda claim: (claim.name, claim.identity))
         chosen = ranked[: self.size]
-        if node_state.me not in chosen:
+        if node_state.member not in chosen:
             return
         cards = sorted(json.dumps(MEMBER.encode(claim), sort_keys=True) for claim in chosen)
         node_state.bootstrap_promise = tuple(cards)
--- a/src/willowpost/consensus/replica/catchup.py
+++ b/src/willowpost/consensus/replica/catchup.py
@@ -51,7 +51,7 @@
             case Received(source, CatchupResponse() as told):
                 self._take(source, told, now, plan)
             case Received(_, SyncedIndex(identity, slot)):
-                self.node_state.hear_synced_index(identity, slot)
+                self.node_state.record_synced_index(identity, slot)
             case Tick():
                 self._tick(now, plan)
         return plan
@@ -61,14 +61,18 @@
             command = self._command(ask.key)
             if command is not None:
                 plan.send(source, CatchupResponse(ask.slot, command=command))
-        elif self.node_state.bootstrapped:
+        elif self.node_state.is_bootstrapped:
             self._tell(source, ask, now, plan)
 
     def _command(self, key):
         node_state = self.node_state
-        command = node_state.queue.commands.get(key)
-        if command is None and node_state.own is not None and node_state.own.proposal == key:
-            return node_state.own.command
+        command = node_state.pending_commands.commands.get(key)
+        if (
+            command is None
+            and node_state.own_ballot_state is not None
+            and node_state.own_ballot_state.proposal == key
+        ):
+            return node_state.own_ballot_state.command
         return command
 
     def _tell(self, source, ask, now, plan):
@@ -95,7 +99,7 @@
         if told.piece is not None:
             self._take_piece(source, told.piece, now, plan)
         for decision in told.decisions:
-            if decision.slot == node_state.tables.slot and node_state.bootstrapped:
+            if decision.slot == node_state.tables.slot and node_state.is_bootstrapped:
                 node_state.commit(decision, plan)
         if node_state.tables.slot > before:
             self._go_on(source, now, plan)
@@ -120,13 +124,13 @@
         if not self._newer(tables.slot):
             return
         node_state.log, node_state.log_floor = {}, tables.slot
-        node_state.take(tables)
+        node_state.install_tables(tables)
         node_state.begin_segment(plan)
         plan.log("catchup", "snapshot taken", slot=tables.slot)
 
     def _newer(self, slot: int) -> bool:
         """Whether a snapshot of this slot is newer than the tables held here."""
-        return slot > self.node_state.tables.slot or not self.node_state.bootstrapped
+        return slot > self.node_state.tables.slot or not self.node_state.is_bootstrapped
 
     def _go_on(self, source, now, plan):
         """After an answer that brought progress: ask the same source for more, if any."""
@@ -142,46 +146,51 @@
             source,
             CatchupRequest(
                 node_state.tables.slot,
-                blank=not node_state.bootstrapped,
+                blank=not node_state.is_bootstrapped,
                 snapshot=node_state.incoming_snapshot.request(),
             ),
         )
 
     def _furthest(self) -> int:
         indexes = self.node_state.synced_indexes
-        return max((indexes.get(identity, 0) for identity in self.node_state.members), default=0)
+        return max(
+            (indexes.get(identity, 0) for identity in self.node_state.voter_addresses), default=0
+        )
 
     def _tick(self, now, plan):
         node_state = self.node_state
         node_state.outgoing_snapshot.release(now)
-        if not node_state.bootstrapped:
+        if not node_state.is_bootstrapped:
             return
         self._say_synced_index(now, plan)
-        if node_state.voter and self._furthest() <= node_state.tables.slot:
+        if node_state.is_voter and self._furthest() <= node_state.tables.slot:
             self.behind_since = None
             return
         if self.behind_since is None:
             self.behind_since = now
-        waited = now - self.behind_since >= node_state.pace.ask // 2
-        due = now - self.asked_at >= node_state.pace.ask
+        waited = now - self.behind_since >= node_state.tuning.ask // 2
+        due = now - self.asked_at >= node_state.tuning.ask
         sources = self._sources()
         if waited and due and sources and not node_state.incoming_snapshot.is_progressing(now):
-            self._ask(sources[(now // node_state.pace.ask) % len(sources)], now, plan)
+            self._ask(sources[(now // node_state.tuning.ask) % len(sources)], now, plan)
 
     def _say_synced_index(self, now, plan):
         node_state = self.node_state
-        if now - self.synced_index_sent_at < node_state.pace.synced_index or not node_state.voter:
+        if (
+            now - self.synced_index_sent_at < node_state.tuning.synced_index
+            or not node_state.is_voter
+        ):
             return
         self.synced_index_sent_at = now
-        message = SyncedIndex(node_state.me.identity, node_state.tables.slot)
-        plan.sends += [(address, message) for address in node_state.others()]
+        message = SyncedIndex(node_state.member.identity, node_state.tables.slot)
+        plan.sends += [(address, message) for address in node_state.other_addresses()]
 
     def _sources(self) -> list[str]:
         """Addresses of the other voters with the highest synced indexes, best first."""
         node_state = self.node_state
         ranked = sorted(
-            node_state.members.items(),
+            node_state.voter_addresses.items(),
             key=lambda member: -node_state.synced_indexes.get(member[0], 0),
         )
-        others = [address for identity, address in ranked if identity != node_state.me.identity]
+        others = [address for identity, address in ranked if identity != node_state.member.identity]
         return others[:SOURCES_TRIED]
--- a/src/willowpost/consensus/replica/compaction.py
+++ b/src/willowpost/consensus/replica/compaction.py
@@ -21,14 +21,14 @@
     def step(self, event, now: int) -> Plan:
         """On a tick: if a new segment is due, drop old decisions and begin it."""
         plan, node_state = Plan(), self.node_state
-        if not isinstance(event, Tick) or not node_state.bootstrapped or not self._due():
+        if not isinstance(event, Tick) or not node_state.is_bootstrapped or not self._due():
             return plan
         floor = self._floor()
         node_state.log = {
             slot: decision for slot, decision in node_state.log.items() if slot >= floor
         }
         node_state.log_floor = floor
-        node_state.forget_strangers()
+        node_state.forget_unknown_identities()
         node_state.begin_segment(plan)
         plan.log("compaction", "snapshot written", slot=node_state.tables.slot, floor=floor)
         return plan
@@ -36,13 +36,15 @@
     def _due(self) -> bool:
         node_state = self.node_state
         return (
-            node_state.tables.slot - node_state.rotated_at >= node_state.pace.rotate
-            or node_state.appended_bytes >= node_state.pace.rotate_bytes
+            node_state.tables.slot - node_state.snapshot_slot >= node_state.tuning.rotate
+            or node_state.appended_bytes >= node_state.tuning.rotate_bytes
         )
 
     def _floor(self) -> int:
         """Return the first slot whose decision is kept."""
         node_state = self.node_state
         decisions = tuple(node_state.log[slot] for slot in sorted(node_state.log))
-        kept = trailing(decisions, node_state.pace.keep, node_state.pace.keep_bytes)
-        return max(node_state.log_floor, min(node_state.safe(), node_state.tables.slot - len(kept)))
+        kept = trailing(decisions, node_state.tuning.keep, node_state.tuning.keep_bytes)
+        return max(
+            node_state.log_floor, min(node_state.safe_slot(), node_state.tables.slot - len(kept))
+        )
--- a/src/willowpost/consensus/replica/missed_change.py
+++ b/src/willowpost/consensus/replica/missed_change.py
@@ -25,7 +25,7 @@
             case Received(source, BallotState(identity=identity, slot=slot)) | Received(
                 source, SyncedIndex(identity=identity, slot=slot)
             ) if self._is_ahead_and_unknown(identity, slot):
-                if now - self.asked_at >= self.node_state.pace.ask:
+                if now - self.asked_at >= self.node_state.tuning.ask:
                     self.asked_at = now
                     plan.send(source, CatchupRequest(self.node_state.tables.slot))
         return plan
@@ -33,7 +33,7 @@
     def _is_ahead_and_unknown(self, identity: str, slot: int) -> bool:
         node_state = self.node_state
         return (
-            node_state.bootstrapped
+            node_state.is_bootstrapped
             and slot > node_state.tables.slot
-            and identity not in node_state.members
+            and identity not in node_state.voter_addresses
         )
--- a/src/willowpost/consensus/replica/quorum_reads.py
+++ b/src/willowpost/consensus/replica/quorum_reads.py
@@ -22,7 +22,7 @@
 
     def __init__(self, node_state: ReplicaState, incarnation: int = 0):
         self.node_state = node_state
-        self.nonces = NonceSequence(node_state.me.identity, incarnation, "read")
+        self.nonces = NonceSequence(node_state.member.identity, incarnation, "read")
         self.reads = OpenReads()
         self.begun_at = 0
 
@@ -34,19 +34,19 @@
         """
         plan = Plan()
         match event:
-            case Received(source, QuorumReadRequest(nonce)) if self.node_state.voter:
+            case Received(source, QuorumReadRequest(nonce)) if self.node_state.is_voter:
                 plan.send(
                     source,
                     QuorumReadResponse(
-                        nonce, self.node_state.me.identity, self.node_state.tables.slot
+                        nonce, self.node_state.member.identity, self.node_state.tables.slot
                     ),
                 )
             case Received(_, QuorumReadResponse(nonce, identity, slot)) if (
-                nonce in self.reads.open and identity in self.node_state.members
+                nonce in self.reads.open and identity in self.node_state.voter_addresses
             ):
                 self.reads.hear(nonce, identity, slot)
                 # A voter that was replaced while it was unreachable learns so that it is behind.
-                self.node_state.hear_synced_index(identity, slot)
+                self.node_state.record_synced_index(identity, slot)
             case Received(source, Poll() as poll):
                 self._state_update(source, poll, now, plan)
             case Tick():
@@ -56,27 +56,29 @@
 
     def _tick(self, now, plan):
         node_state = self.node_state
-        if not node_state.bootstrapped or now - self.begun_at < node_state.pace.read:
+        if not node_state.is_bootstrapped or now - self.begun_at < node_state.tuning.read:
             return
         nonce, self.begun_at = self.nonces.next(), now
         # a learner counts for nothing, but reads
-        told = {node_state.me.identity: node_state.tables.slot} if node_state.voter else {}
+        told = {node_state.member.identity: node_state.tables.slot} if node_state.is_voter else {}
         self.reads.begin(nonce, now, node_state.tables.epoch, told)
-        plan.sends += [(address, QuorumReadRequest(nonce)) for address in node_state.others()]
+        plan.sends += [
+            (address, QuorumReadRequest(nonce)) for address in node_state.other_addresses()
+        ]
 
     def _settle(self):
         node_state = self.node_state
         asked_at = self.reads.settled(
-            node_state.tables.epoch, node_state.limits.heard, node_state.tables.slot
+            node_state.tables.epoch, node_state.quorum_sizes.quorum, node_state.tables.slot
         )
         if asked_at is not None:
             node_state.fresh_as_of = asked_at
 
     def _state_update(self, source, poll, now, plan):
         node_state = self.node_state
-        if not node_state.bootstrapped:
+        if not node_state.is_bootstrapped:
             return
-        fresh = node_state.fresh_as_of is not None and node_state.voter
+        fresh = node_state.fresh_as_of is not None and node_state.is_voter
         age = now - node_state.fresh_as_of if fresh else 0
         if poll.blank or poll.slot < node_state.log_floor:
             self._send_piece(source, poll, age, fresh, now, plan)
--- a/src/willowpost/consensus/replica/replica_state.py
+++ b/src/willowpost/consensus/replica/replica_state.py
@@ -68,63 +68,67 @@
     - `early` holds ballot states of later slots, by slot and then identity.
     """
 
-    me: Member
-    pace: ReplicaTuning = ReplicaTuning()
+    member: Member
+    tuning: ReplicaTuning = ReplicaTuning()
     thresholds: type = Thresholds
     tables: Tables = field(default_factory=Tables)
     log: dict = field(default_factory=dict)
     log_floor: int = 0
-    queue: PendingQueue = field(default_factory=PendingQueue)
-    own: BallotState | None = None
-    heard: dict = field(default_factory=dict)
-    heard_since: int = 0
-    early: dict = field(default_factory=dict)
+    pending_commands: PendingQueue = field(default_factory=PendingQueue)
+    own_ballot_state: BallotState | None = None
+    ballot_states: dict = field(default_factory=dict)
+    ballot_states_since: int = 0
+    early_ballot_states: dict = field(default_factory=dict)
     synced_indexes: dict = field(default_factory=dict)
-    passed: int = 0  # the last epoch whose opening barrier was passed
-    rotated_at: int = 0  # slot of the last snapshot
+    passed_epoch: int = 0  # the last epoch whose opening barrier was passed
+    snapshot_slot: int = 0  # slot of the last snapshot
     appended_bytes: int = 0  # of commands, since the last snapshot
     incoming_snapshot: SnapshotReceiver = field(default_factory=SnapshotReceiver)
     outgoing_snapshot: SnapshotSource = field(default_factory=SnapshotSource)
     bootstrap_promise: tuple = ()
-    members: dict = field(default_factory=dict)  # identity -> address, of the epoch in force
+    voter_addresses: dict = field(
+        default_factory=dict
+    )  # identity -> address, of the epoch in force
     fresh_as_of: int | None = None  # own clock: all accepted before it is applied here
     stats: dict = field(
         default_factory=lambda: {"decided": 0, "null": 0, "voted": 0, "fast": 0, "phases": 0}
     )
 
     @property
-    def bootstrapped(self) -> bool:
+    def is_bootstrapped(self) -> bool:
         """Whether this store holds the tables of a bootstrapped fleet."""
         return self.tables.epoch > 0
 
     @property
-    def voter(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether this store votes in the epoch in force."""
-        return self.me.identity in self.members
+        return self.member.identity in self.voter_addresses
 
     @property
-    def limits(self) -> Thresholds:
+    def quorum_sizes(self) -> Thresholds:
         """The thresholds of the epoch in force."""
         return self.thresholds(len(self.tables.voters))
 
-    def others(self) -> list[str]:
+    def other_addresses(self) -> list[str]:
         """Addresses of the voters of the epoch in force, without this store."""
         return [
-            address for identity, address in self.members.items() if identity != self.me.identity
+            address
+            for identity, address in self.voter_addresses.items()
+            if identity != self.member.identity
         ]
 
-    def hear_synced_index(self, identity: str, slot: int) -> None:
+    def record_synced_index(self, identity: str, slot: int) -> None:
         """Record that a member holds every slot below `slot`; it never goes back."""
         self.synced_indexes[identity] = max(self.synced_indexes.get(identity, 0), slot)
 
-    def safe(self) -> int:
+    def safe_slot(self) -> int:
         """Return the slot below which everything is synced on n - f voters.
 
         It stays so if the replaced voters are lost. Until the barrier of the epoch in force is
         passed, n - f of the former voters must hold it as well: a reader that has not heard of the
         change asks those.
         """
-        index = quorum_index(self.members, self.synced_indexes, self.thresholds)
+        index = quorum_index(self.voter_addresses, self.synced_indexes, self.thresholds)
         if is_passed(self):
             return index
         former = previous_identities(self.tables)
@@ -134,31 +138,34 @@
         """Whether the command is in the log, or barred from it for ever."""
         return is_decided(self.tables, command)
 
-    def take(self, tables: Tables) -> None:
+    def install_tables(self, tables: Tables) -> None:
         """Replace the tables, and reset what depends on their epoch and slot."""
         self.tables = tables
-        self.members = {voter.identity: voter.address for voter in tables.voters}
-        self.own, self.heard = None, {}
-        arrived = self.early.pop(tables.slot, {})
-        self.heard = {
+        self.voter_addresses = {voter.identity: voter.address for voter in tables.voters}
+        self.own_ballot_state, self.ballot_states = None, {}
+        arrived = self.early_ballot_states.pop(tables.slot, {})
+        self.ballot_states = {
             identity: ballot_state
             for identity, ballot_state in arrived.items()
-            if identity in self.members and ballot_state.epoch == tables.epoch
+            if identity in self.voter_addresses and ballot_state.epoch == tables.epoch
         }
-        self.early = {slot: held for slot, held in self.early.items() if slot > tables.slot}
-        self.synced_indexes[self.me.identity] = tables.slot
+        self.early_ballot_states = {
+            slot: held for slot, held in self.early_ballot_states.items() if slot > tables.slot
+        }
+        self.synced_indexes[self.member.identity] = tables.slot
 
     def commit(self, decision: Decision, plan: Plan) -> None:
         """Apply a decision of slot `tables.slot`, write it to disk and report the new synced index.
 
         The command's body is left out of the record if the own ballot state has written it already.
         """
-        proposed = self.own is not None and self.own.command is not None
-        written = proposed and self.own.command.key == decision.key
+        proposed = self.own_ballot_state is not None and self.own_ballot_state.command is not None
+        written = proposed and self.own_ballot_state.command.key == decision.key
         plan.records.append(decision_record(decision, whole=not written))
         self.replay(decision)
         plan.sends += [
-            (address, SyncedIndex(self.me.identity, self.tables.slot)) for address in self.others()
+            (address, SyncedIndex(self.member.identity, self.tables.slot))
+            for address in self.other_addresses()
         ]
 
     def replay(self, decision: Decision) -> None:
@@ -169,35 +176,35 @@
         """
         self.log[decision.slot] = decision
         if decision.key:
-            self.queue.drop(decision.key)
+            self.pending_commands.drop(decision.key)
         self.appended_bytes += size_of(decision)
         self.stats["decided"] += 1
         self.stats["null"] += not decision.key
-        self.take(StateMachine().apply(self.tables, decision))
+        self.install_tables(StateMachine().apply(self.tables, decision))
 
     def begin_segment(self, plan: Plan) -> None:
         """Plan a new disk segment; it replaces the records that the plan would append."""
-        self.rotated_at, self.appended_bytes = self.tables.slot, 0
-        plan.rotate = self.segment()
+        self.snapshot_slot, self.appended_bytes = self.tables.slot, 0
+        plan.rotate = self.segment_records()
         plan.records.clear()
 
-    def forget_strangers(self) -> None:
+    def forget_unknown_identities(self) -> None:
         """Drop synced indexes of all but the voters and the voters before them."""
-        known = {*self.members, *previous_identities(self.tables)}
+        known = {*self.voter_addresses, *previous_identities(self.tables)}
         self.synced_indexes = {
             identity: slot for identity, slot in self.synced_indexes.items() if identity in known
         }
-        self.synced_indexes[self.me.identity] = self.tables.slot
+        self.synced_indexes[self.member.identity] = self.tables.slot
 
-    def segment(self) -> list[dict]:
+    def segment_records(self) -> list[dict]:
         """Return the records of a new disk segment: everything this store must keep."""
-        records = [identity_record(self.me)]
+        records = [identity_record(self.member)]
         if self.bootstrap_promise:
             records.append(bootstrap_promise_record(self.bootstrap_promise))
-        records.append(snapshot_record(self.tables.text(), self.log_floor, self.passed))
+        records.append(snapshot_record(self.tables.text(), self.log_floor, self.passed_epoch))
         records += [kept_record(self.log[slot]) for slot in sorted(self.log)]
-        if self.own:
-            records.append(ballot_state_record(self.own, True))
+        if self.own_ballot_state:
+            records.append(ballot_state_record(self.own_ballot_state, True))
         return records
 
     def restore(self, records: list[dict], now: int) -> None:
@@ -219,10 +226,10 @@
         }
         for record in records:
             readers[record["k"]](record)
-        if self.own and self.own.command:
-            self.queue.push(self.own.command, now)
-        if self.own:
-            self.heard[self.me.identity] = self.own
+        if self.own_ballot_state and self.own_ballot_state.command:
+            self.pending_commands.push(self.own_ballot_state.command, now)
+        if self.own_ballot_state:
+            self.ballot_states[self.member.identity] = self.own_ballot_state
 
     def _bootstrap_promise(self, held):
         self.bootstrap_promise = tuple(held["members"])
@@ -232,12 +239,12 @@
 
     def enter_first_epoch(self, voters: tuple[Member, ...]) -> None:
         """Enter epoch 1 with these voters."""
-        self.take(replace(Tables(), epoch=1, voters=voters))
+        self.install_tables(replace(Tables(), epoch=1, voters=voters))
 
     def _snapshot(self, held):
         self.log = {}
-        self.take(tables_from(held["text"]))
-        self.log_floor, self.rotated_at, self.passed = (
+        self.install_tables(tables_from(held["text"]))
+        self.log_floor, self.snapshot_slot, self.passed_epoch = (
             held["log_floor"],
             self.tables.slot,
             held["passed"],
@@ -247,17 +254,23 @@
         self.log[held["slot"]] = decision_from(held)
 
     def _decision(self, held):
-        self.replay(decision_from(held, self.own.command if self.own else None))
+        self.replay(
+            decision_from(held, self.own_ballot_state.command if self.own_ballot_state else None)
+        )
 
     def _passed(self, held):
-        self.passed = held["epoch"]
+        self.passed_epoch = held["epoch"]
 
     def _ballot_state(self, held):
         command = command_from(held["command"])
-        if command is None and self.own is not None and self.own.slot == held["slot"]:
-            command = self.own.command
-        self.own = BallotState(
-            self.me.identity,
+        if (
+            command is None
+            and self.own_ballot_state is not None
+            and self.own_ballot_state.slot == held["slot"]
+        ):
+            command = self.own_ballot_state.command
+        self.own_ballot_state = BallotState(
+            self.member.identity,
             held["epoch"],
             held["slot"],
             held["proposal"],
--- a/src/willowpost/consensus/replica/voting.py
+++ b/src/willowpost/consensus/replica/voting.py
@@ -44,7 +44,7 @@
             case Received(_, CatchupResponse(command=command)) if (
                 command is not None and not self.node_state.is_decided(command)
             ):
-                self.node_state.queue.push(command, now)
+                self.node_state.pending_commands.push(command, now)
             case Tick():
                 self._resend(now, plan)
         self._pump(now, plan)
@@ -52,27 +52,31 @@
 
     def _pend(self, event, command, now, plan):
         node_state = self.node_state
-        if node_state.is_decided(command) or not node_state.queue.push(command, now):
+        if node_state.is_decided(command) or not node_state.pending_commands.push(command, now):
             return
         if isinstance(event.message, SubmitCommand):
-            plan.sends += [(address, ForwardCommand(command)) for address in node_state.others()]
+            plan.sends += [
+                (address, ForwardCommand(command)) for address in node_state.other_addresses()
+            ]
 
     def _hear(self, source, ballot_state, now, plan):
         node_state, slot = self.node_state, self.node_state.tables.slot
         if ballot_state.command is not None and not node_state.is_decided(ballot_state.command):
-            node_state.queue.push(ballot_state.command, now)
-        if ballot_state.identity in node_state.members:
-            node_state.hear_synced_index(ballot_state.identity, ballot_state.slot)
+            node_state.pending_commands.push(ballot_state.command, now)
+        if ballot_state.identity in node_state.voter_addresses:
+            node_state.record_synced_index(ballot_state.identity, ballot_state.slot)
         if ballot_state.slot > slot and ballot_state.slot < slot + EARLY_MOST:
-            self._merge(node_state.early.setdefault(ballot_state.slot, {}), ballot_state)
+            self._merge(
+                node_state.early_ballot_states.setdefault(ballot_state.slot, {}), ballot_state
+            )
         elif (
             ballot_state.slot == slot
-            and ballot_state.identity in node_state.members
+            and ballot_state.identity in node_state.voter_addresses
             and ballot_state.epoch == node_state.tables.epoch
         ):
-            if not node_state.heard:
-                node_state.heard_since = now
-            self._merge(node_state.heard, ballot_state)
+            if not node_state.ballot_states:
+                node_state.ballot_states_since = now
+            self._merge(node_state.ballot_states, ballot_state)
 
     def _merge(self, held, ballot_state):
         known = held.get(ballot_state.identity)
@@ -82,16 +86,18 @@
             held[ballot_state.identity] = replace(ballot_state, command=None)
 
     def _pump(self, now, plan):
-        while self.node_state.voter and self._advance(now, plan):
+        while self.node_state.is_voter and self._advance(now, plan):
             pass
 
     def _advance(self, now, plan) -> bool:
         node_state = self.node_state
-        if node_state.own is None:
+        if node_state.own_ballot_state is None:
             return self._propose(now, plan)
-        moved = self.mvc.step(node_state.own, node_state.heard, node_state.limits)
+        moved = self.mvc.step(
+            node_state.own_ballot_state, node_state.ballot_states, node_state.quorum_sizes
+        )
         if isinstance(moved, Verdict):
-            return self._decide(moved, node_state.own, now, plan)
+            return self._decide(moved, node_state.own_ballot_state, now, plan)
         if moved is None:
             return False
         self._stand(moved, now, plan, first=False)
@@ -101,25 +107,25 @@
         node_state = self.node_state
         if not self._opened(plan):
             return False
-        head = node_state.queue.head(node_state.is_decided)
+        head = node_state.pending_commands.head(node_state.is_decided)
         strangers = [
             ballot_state
-            for identity, ballot_state in node_state.heard.items()
-            if identity != node_state.me.identity
+            for identity, ballot_state in node_state.ballot_states.items()
+            if identity != node_state.member.identity
         ]
         if head is None and not strangers:
             return False
-        if head is None and now - node_state.heard_since < node_state.pace.resend:
+        if head is None and now - node_state.ballot_states_since < node_state.tuning.resend:
             self._fetch(strangers, now, plan)
             return False
         if (
             head is not None
             and not strangers
-            and now - node_state.queue.since[head.key] < node_state.pace.freeze
+            and now - node_state.pending_commands.since[head.key] < node_state.tuning.freeze
         ):
             return False
         ballot_state = BallotState(
-            node_state.me.identity,
+            node_state.member.identity,
             node_state.tables.epoch,
             node_state.tables.slot,
             head.key if head else "",
@@ -138,11 +144,11 @@
 
     def _ask_for_body(self, key, now, plan):
         """Ask all other voters for a command's body, at most twice per `pace.resend`."""
-        if now - self.asked_at < self.node_state.pace.resend // 2:
+        if now - self.asked_at < self.node_state.tuning.resend // 2:
             return
         self.asked_at = now
         question = CatchupRequest(self.node_state.tables.slot, key)
-        plan.sends += [(address, question) for address in self.node_state.others()]
+        plan.sends += [(address, question) for address in self.node_state.other_addresses()]
 
     def _opened(self, plan) -> bool:
         """Whether the slot may be voted on: its epoch's barrier is passed, and recorded on disk.
@@ -154,15 +160,15 @@
             return False
         tables = node_state.tables
         begins = tables.previous_voters is not None and tables.slot == first_slot(tables)
-        if begins and node_state.passed < tables.epoch:
-            node_state.passed = tables.epoch
+        if begins and node_state.passed_epoch < tables.epoch:
+            node_state.passed_epoch = tables.epoch
             plan.records.append(passed_record(tables.epoch))
         return True
 
     def _stand(self, ballot_state, now, plan, first):
         node_state = self.node_state
-        node_state.own = ballot_state
-        node_state.heard[node_state.me.identity] = replace(ballot_state, command=None)
+        node_state.own_ballot_state = ballot_state
+        node_state.ballot_states[node_state.member.identity] = replace(ballot_state, command=None)
         plan.records.append(ballot_state_record(ballot_state, first))
         self._say(ballot_state if first else replace(ballot_state, command=None), now, plan)
 
@@ -184,7 +190,7 @@
             if not isinstance(sent, BallotState) or sent.slot != ballot_state.slot
         ]
         newest = replace(ballot_state, command=body)
-        plan.sends += [(address, newest) for address in self.node_state.others()]
+        plan.sends += [(address, newest) for address in self.node_state.other_addresses()]
 
     def _decide(self, verdict: Verdict, own: BallotState, now, plan) -> bool:
         """Commit the slot's decision; False while the command's key or body is unknown."""
@@ -198,7 +204,7 @@
             return False
         self._count(verdict)
         node_state.commit(Decision(node_state.tables.slot, key, command), plan)
-        node_state.heard_since = now
+        node_state.ballot_states_since = now
         return True
 
     def _decided_key(self, verdict: Verdict, own: BallotState) -> str | None:
@@ -206,10 +212,10 @@
         node_state = self.node_state
         if not verdict.value:
             return ""
-        return own.agreed or agreed_proposal(node_state.heard, node_state.limits)
+        return own.agreed or agreed_proposal(node_state.ballot_states, node_state.quorum_sizes)
 
     def _body_of(self, key: str, own: BallotState) -> Command | None:
-        command = self.node_state.queue.commands.get(key)
+        command = self.node_state.pending_commands.commands.get(key)
         if command is None and own.proposal == key:
             return own.command
         return command
@@ -223,11 +229,12 @@
     def _resend(self, now, plan):
         node_state = self.node_state
         if (
-            node_state.own is not None
-            and node_state.voter
-            and now - self.sent_at >= node_state.pace.resend
+            node_state.own_ballot_state is not None
+            and node_state.is_voter
+            and now - self.sent_at >= node_state.tuning.resend
         ):
             self.sent_at = now
             plan.sends += [
-                (address, replace(node_state.own, again=True)) for address in node_state.others()
+                (address, replace(node_state.own_ballot_state, again=True))
+                for address in node_state.other_addresses()
             ]
--- a/src/willowpost/consensus/thresholds.py
+++ b/src/willowpost/consensus/thresholds.py
@@ -18,7 +18,7 @@
         return (self.n - 1) // 2
 
     @property
-    def heard(self) -> int:
+    def quorum(self) -> int:
         """How many voters must have been heard before a step is taken (paper: n - f)."""
         return self.n - self.f
 
@@ -28,6 +28,6 @@
         return self.n // 2 + 1
 
     @property
-    def decides(self) -> int:
+    def deciding_votes(self) -> int:
         """How many equal votes decide a slot (paper: f + 1)."""
         return self.f + 1
--- a/src/willowpost/consensus/weakmvc.py
+++ b/src/willowpost/consensus/weakmvc.py
@@ -57,7 +57,7 @@
         return self.moves[stage_of(own.states, own.votes)](own, tuple(heard.values()), limits)
 
     def _exchanged(self, own, ballot_states, limits):
-        if len(ballot_states) < limits.heard:
+        if len(ballot_states) < limits.quorum:
             return None
         return replace(own, states=(int(bool(own.agreed)),))
 
@@ -68,7 +68,7 @@
             for ballot_state in ballot_states
             if len(ballot_state.states) >= phase
         )
-        if states.total() < limits.heard:
+        if states.total() < limits.quorum:
             return None
         vote = next(
             (value for value in (0, 1) if states[value] >= limits.majority), int(BallotValue.UNSURE)
@@ -82,10 +82,10 @@
             for ballot_state in ballot_states
             if len(ballot_state.votes) >= phase
         )
-        if votes.total() < limits.heard:
+        if votes.total() < limits.quorum:
             return None
         known = next((value for value in (0, 1) if votes[value]), None)
-        if known is not None and votes[known] >= limits.decides:
+        if known is not None and votes[known] >= limits.deciding_votes:
             return Verdict(BallotValue(known), phase)
         # Without any vote for a value the coin decides. Its 1 is taken only by a replica that knows
         # the proposal it refers to; if any vote of 1 was cast, every replica knows it by now (see
--- a/src/willowpost/drill/capacity/lightweight.py
+++ b/src/willowpost/drill/capacity/lightweight.py
@@ -101,14 +101,14 @@
             if descriptor.kind == "store":
                 me = Member(descriptor.id, descriptor.name, descriptor.zone, descriptor.address)
                 node_state = ReplicaState(me)
-                node_state.take(self.tables)
-                node_state.log_floor = node_state.rotated_at = self.tables.slot
-                node_state.passed = self.tables.epoch
+                node_state.install_tables(self.tables)
+                node_state.log_floor = node_state.snapshot_slot = self.tables.slot
+                node_state.passed_epoch = self.tables.epoch
                 node = StoreNode(
                     me,
                     seeds,
                     self.size.voters,
-                    node_state.segment(),
+                    node_state.segment_records(),
                     now,
                     wall,
                     descriptor.incarnation,
@@ -123,7 +123,7 @@
             for controller in node.controllers:
                 if isinstance(controller, FailureDetector):
                     # a store has read its own copy of the tables
-                    controller.seen_daemons = controller.tables().daemons
+                    controller.watched_tables = controller.tables().daemons
                     controller.watched = self.watched[descriptor.id]
             return node
 
--- a/src/willowpost/drill/soak/run.py
+++ b/src/willowpost/drill/soak/run.py
@@ -12,7 +12,7 @@
 from willowpost.drill.rules import Findings
 from willowpost.drill.soak.callers import SoakCallers
 from willowpost.drill.soak.fleet import CONFIGURATION, HOST, SoakFleet, layout
-from willowpost.drill.soak.judge import Record, OriginShutdown, SoakRules
+from willowpost.drill.soak.judge import OriginShutdown, Record, SoakRules
 from willowpost.drill.soak.schedule import Kind, Parts, Trouble, drawn
 from willowpost.stand_ins.callers import ask
 
--- a/src/willowpost/model/disk_facts.py
+++ b/src/willowpost/model/disk_facts.py
@@ -45,5 +45,5 @@
         epoch=tables.epoch,
         voters=tables.voter_identities(),
         previous_voters=frozenset(previous_identities(tables)),
-        opened=state.passed >= tables.epoch or is_change_complete(tables),
+        opened=state.passed_epoch >= tables.epoch or is_change_complete(tables),
     )
--- a/src/willowpost/model/invariants.py
+++ b/src/willowpost/model/invariants.py
@@ -226,4 +226,4 @@
 def _holds(voters: frozenset[str], disks: Sequence[DiskFacts], bound: int) -> bool:
     limits = Thresholds(len(voters))
     holding = sum(facts.identity in voters and facts.slot >= bound for facts in disks)
-    return holding >= limits.heard - lost_voters(voters, disks)
+    return holding >= limits.quorum - lost_voters(voters, disks)
--- a/src/willowpost/model/processes.py
+++ b/src/willowpost/model/processes.py
@@ -99,9 +99,9 @@
             return empty_disk(machine, 0)
         case Role.LEARNER:
             state = ReplicaState(member_of(machine))
-            state.take(first_tables(scope))
-            state.log_floor = state.rotated_at = state.tables.slot
-            return state.segment()
+            state.install_tables(first_tables(scope))
+            state.log_floor = state.snapshot_slot = state.tables.slot
+            return state.segment_records()
         case Role.VOTER:
             return _founded_disk(scope, machine)
 
--- a/src/willowpost/model/protections.py
+++ b/src/willowpost/model/protections.py
@@ -23,7 +23,7 @@
     """One replica is a quorum of its own."""
 
     @property
-    def heard(self) -> int:
+    def quorum(self) -> int:
         """One."""
         return 1
 
@@ -33,7 +33,7 @@
         return 1
 
     @property
-    def decides(self) -> int:
+    def deciding_votes(self) -> int:
         """One."""
         return 1
 
@@ -43,7 +43,7 @@
     """One vote for a value decides, in place of f + 1."""
 
     @property
-    def decides(self) -> int:
+    def deciding_votes(self) -> int:
         """One."""
         return 1
 
@@ -108,7 +108,7 @@
 
 def _holds_new_quorum(node_state: Any) -> bool:
     index = barrier.quorum_index(
-        node_state.members, node_state.synced_indexes, node_state.thresholds
+        node_state.voter_addresses, node_state.synced_indexes, node_state.thresholds
     )
     return index >= barrier.first_slot(node_state.tables)
 
@@ -118,9 +118,9 @@
 
     def restore(self: Any, *arguments: Any) -> None:
         original(self, *arguments)
-        if self.own is not None:
-            self.queue.drop(self.own.proposal)
-            self.own, self.heard = None, {}
+        if self.own_ballot_state is not None:
+            self.pending_commands.drop(self.own_ballot_state.proposal)
+            self.own_ballot_state, self.ballot_states = None, {}
 
     return Replacement(ReplicaState, "restore", restore)
 
@@ -134,7 +134,7 @@
         Protection(
             "synced-before-accepted",
             "one-command",
-            replacements=(Replacement(ReplicaState, "safe", lambda self: _ALL_SLOTS),),
+            replacements=(Replacement(ReplicaState, "safe_slot", lambda self: _ALL_SLOTS),),
         ),
         Protection(
             "ballot-state-kept",
--- a/src/willowpost/node/failure_detector.py
+++ b/src/willowpost/node/failure_detector.py
@@ -56,7 +56,7 @@
         self.pinged_at = 0
         self.ticked_at = None
         self.watched: tuple = ()
-        self.seen_daemons = None
+        self.watched_tables = None
 
     def step(self, event, now: int) -> Plan:
         """Answer a `Ping`, record a `Pong`; on a tick, ping each PING_EVERY and report changes."""
@@ -78,8 +78,8 @@
             return
         self.pinged_at = now
         tables = self.tables()
-        if tables.daemons is not self.seen_daemons:
-            self.seen_daemons = tables.daemons
+        if tables.daemons is not self.watched_tables:
+            self.watched_tables = tables.daemons
             self.watched = tuple(
                 name
                 for name in tables.daemons
--- a/src/willowpost/node/follower.py
+++ b/src/willowpost/node/follower.py
@@ -66,7 +66,9 @@
                 self._tell(source, poll, now, plan)
             case Received(source, Hello(answer=True, bootstrapped=True) as hello):
                 if not self.node_state.tables.voters or self._without_source(now):
-                    self.node_state.seed_cores = tuple(member.address for member in hello.known)
+                    self.node_state.seed_store_addresses = tuple(
+                        member.address for member in hello.known
+                    )
             case Received(source, Ping()) if not self.node_state.tables.voters:
                 # A watcher of this daemon has tables, even if the seeds are gone.
                 plan.send(source, Hello(answer=False))
@@ -88,12 +90,12 @@
     def sources(self) -> list[str]:
         """Return the addresses of all possible sources, the preferred one first."""
         node_state = self.node_state
-        cores = node_state.cores()
+        cores = node_state.store_addresses()
         if not self.tree:
             return cores
         zone = {
             name: proxy
-            for name, proxy in node_state.live("proxy").items()
+            for name, proxy in node_state.live_daemons("proxy").items()
             if proxy.zone == node_state.descriptor.zone
         }
         ranked = Rendezvous().rank(f"state_update/{node_state.descriptor.zone}", zone)
@@ -156,13 +158,13 @@
             return
         self.heard_at = now
         if state_update.fresh and state_update.age <= LEASE:
-            node_state.quorum_heard_at = now
+            node_state.quorum_contact_at = now
         went_on = self._take_snapshot(state_update, now, plan)
         self._take_decisions(state_update.decisions)
         reached = node_state.tables.epoch and node_state.tables.slot >= state_update.slot
         if state_update.fresh and reached:
-            node_state.whole_as_of(sent - state_update.age)
-            node_state.seed_cores = ()
+            node_state.confirm_as_of(sent - state_update.age)
+            node_state.seed_store_addresses = ()
         elif went_on:
             self._poll_now(source, now, plan)  # the next piece, or what was decided since
         elif state_update.decisions and node_state.tables.slot == state_update.slot:
@@ -184,7 +186,7 @@
             return False
         if not self._newer(tables.slot):
             return False
-        node_state.tables, node_state.tail = tables, ()
+        node_state.tables, node_state.recent_decisions = tables, ()
         return True
 
     def _take_decisions(self, decisions):
@@ -195,9 +197,9 @@
                 tables = self.state_machine.apply(tables, decision)
                 taken.append(decision)
         if taken:
-            tail = node_state.tail + tuple(taken)
+            tail = node_state.recent_decisions + tuple(taken)
             node_state.tables = tables
-            node_state.tail = trailing(tail, TAIL_KEPT, TAIL_BYTES_KEPT)
+            node_state.recent_decisions = trailing(tail, TAIL_KEPT, TAIL_BYTES_KEPT)
 
     def _newer(self, slot: int) -> bool:
         """Whether a snapshot of this slot is newer than the tables held here."""
@@ -208,7 +210,7 @@
         if not node_state.tables.epoch:
             return
         age = node_state.age(now)
-        first = node_state.tables.slot - len(node_state.tail)
+        first = node_state.tables.slot - len(node_state.recent_decisions)
         piece, told = None, ()
         if poll.blank or poll.slot < first:
             asker_slot = -1 if poll.blank else poll.slot
@@ -216,7 +218,7 @@
                 node_state.tables, asker_slot, first, poll.snapshot, now
             )
         elif poll.slot < node_state.tables.slot:
-            told = leading(node_state.tail[poll.slot - first :], DECISIONS_BYTES_MOST)
+            told = leading(node_state.recent_decisions[poll.slot - first :], DECISIONS_BYTES_MOST)
         last = poll.slot + len(told) if told else node_state.tables.slot
         whole = age is not None and last >= node_state.tables.slot >= poll.slot
         plan.send(source, StateUpdate(poll.nonce, last, age or 0, whole, tuple(told), piece=piece))
--- a/src/willowpost/node/graceful_shutdown.py
+++ b/src/willowpost/node/graceful_shutdown.py
@@ -63,7 +63,7 @@
 
     def __init__(self, node_state, command_client, joiner, spans: ShutdownTimeouts | None = None):
         self.spans = spans or ShutdownTimeouts(DRAIN_SPAN, FINISH_SPAN, LEAVE_SPAN)
-        self.node_state, self.descriptor, self.command_client, self.joiner = (
+        self.node_state, self.descriptor, self.command_client, self.fleet_join = (
             node_state,
             node_state.descriptor,
             command_client,
@@ -84,7 +84,7 @@
         """Begin on `ShutdownRequested`; on each tick, move on if the next stage is due."""
         plan = Plan()
         if isinstance(event, ShutdownRequested) and self.stage is Stage.SERVING:
-            self.node_state.draining = True
+            self.node_state.is_draining = True
             self._move(Stage.DRAINING, now, plan)
             self._submit(DrainDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
         elif isinstance(event, Tick):
@@ -98,7 +98,7 @@
         elif self.stage is Stage.FINISHING and (
             now >= self.finish_by or (span >= LAST_BYTES and not self.in_flight())
         ):
-            self.joiner.leaving = True
+            self.fleet_join.leaving = True
             self._move(Stage.LEAVING, now, plan)
             self._submit(RemoveDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
         elif (
--- a/src/willowpost/node/node_state.py
+++ b/src/willowpost/node/node_state.py
@@ -37,12 +37,12 @@
     descriptor: DaemonDescriptor
     tables: Tables = field(default_factory=Tables)
     fresh_as_of: int | None = None
-    tail: tuple = ()
-    seed_cores: tuple = ()  # stores heard of from seeds, until there are fresh tables
-    draining: bool = False  # this process is about to end, as planned
-    serve_on: int | None = None  # µs; None: the lease
+    recent_decisions: tuple = ()
+    seed_store_addresses: tuple = ()  # stores heard of from seeds, until there are fresh tables
+    is_draining: bool = False  # this process is about to end, as planned
+    max_stale_serving: int | None = None  # µs; None: the lease
     # when the last word came that shows a quorum of the voters up and within reach
-    quorum_heard_at: int | None = None
+    quorum_contact_at: int | None = None
     incoming_snapshot: SnapshotReceiver = field(default_factory=SnapshotReceiver)
     outgoing_snapshot: SnapshotSource = field(default_factory=SnapshotSource)
 
@@ -50,11 +50,11 @@
         """Return the µs since `fresh_as_of`; None before the first fresh state update."""
         return None if self.fresh_as_of is None else now - self.fresh_as_of
 
-    def whole_as_of(self, moment: int) -> None:
+    def confirm_as_of(self, moment: int) -> None:
         """Record that everything accepted before `moment` (µs, own clock) is in `tables`."""
         self.fresh_as_of = moment if self.fresh_as_of is None else max(self.fresh_as_of, moment)
 
-    def leased(self, now: int) -> bool:
+    def may_serve(self, now: int) -> bool:
         """Whether requests may be served by the tables held here.
 
         They may for LEASE after `fresh_as_of`, and up to `serve_on` after it while this daemon is
@@ -66,28 +66,28 @@
         if self.fresh_as_of is None:
             return False
         age = now - self.fresh_as_of
-        if age <= LEASE or self.serve_on is None:
+        if age <= LEASE or self.max_stale_serving is None:
             return age <= LEASE
-        return age <= self.serve_on and not self.hears_quorum(now)
+        return age <= self.max_stale_serving and not self.has_quorum_contact(now)
 
-    def hears_quorum(self, now: int) -> bool:
+    def has_quorum_contact(self, now: int) -> bool:
         """Whether a quorum of the voters was heard of within QUORUM_HEARD_SPAN."""
-        heard_at = self.quorum_heard_at
+        heard_at = self.quorum_contact_at
         return heard_at is not None and now - heard_at <= QUORUM_HEARD_SPAN
 
-    def ruling(self, now: int) -> bool:
+    def holds_ownership_lease(self, now: int) -> bool:
         """Whether a duty that the log assigns to this daemon is certainly still its own.
 
         A successor waits for LEASE, whatever `serve_on` of this daemon is.
         """
         return self.fresh_as_of is not None and now - self.fresh_as_of <= LEASE
 
-    def in_touch(self, now: int) -> bool:
+    def is_in_touch(self, now: int) -> bool:
         """Whether a quorum confirmed the tables within OUT_OF_TOUCH_AFTER; False at the start."""
         age = self.age(now)
         return age is not None and age <= OUT_OF_TOUCH_AFTER
 
-    def cores(self) -> list[str]:
+    def store_addresses(self) -> list[str]:
         """Return the addresses of stores.
 
         First those of the own machine, then of the own zone, then the other voters, then those that
@@ -102,9 +102,9 @@
             ),
         )
         known = [voter.address for voter in ordered]
-        return known + [address for address in self.seed_cores if address not in known]
+        return known + [address for address in self.seed_store_addresses if address not in known]
 
-    def live(self, kind: str) -> dict[str, DaemonEntry]:
+    def live_daemons(self, kind: str) -> dict[str, DaemonEntry]:
         """Return all daemons of a kind that are up, by id."""
         return {
             name: daemon
--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -68,10 +68,10 @@
         )
         node_state, quorum_at = self.node_state, moments[self._quorum() - 1]
         if quorum_at >= 0:
-            node_state.quorum_heard_at = max(node_state.quorum_heard_at or 0, quorum_at)
+            node_state.quorum_contact_at = max(node_state.quorum_contact_at or 0, quorum_at)
 
     def _quorum(self):
-        return Thresholds(len(self.node_state.tables.voters)).heard
+        return Thresholds(len(self.node_state.tables.voters)).quorum
 
     def _voters(self):
         return self.node_state.tables.voter_identities()
@@ -84,4 +84,4 @@
         tables = self.node_state.tables
         asked_at = self.reads.settled(tables.epoch, self._quorum(), tables.slot)
         if asked_at is not None:
-            self.node_state.whole_as_of(asked_at)
+            self.node_state.confirm_as_of(asked_at)
--- a/src/willowpost/proxy/admission/quota_shares.py
+++ b/src/willowpost/proxy/admission/quota_shares.py
@@ -143,7 +143,7 @@
 
     def _claim(self, now: int, plan: Plan) -> None:
         node_state = self.node_state
-        live = node_state.live("proxy")
+        live = node_state.live_daemons("proxy")
         claims = []
         for name in node_state.snapshot.services:
             key = role_of(name)
@@ -155,7 +155,7 @@
             elif (
                 ownership.owner not in live
                 and node_state.descriptor.id in live
-                and not node_state.draining
+                and not node_state.is_draining
                 and Rendezvous().rank(key, live)[0] == node_state.descriptor.id
                 and now - self.claimed_at.get(key, -CLAIM_EVERY) >= CLAIM_EVERY
             ):
@@ -181,7 +181,7 @@
             or ownership.owner != node_state.descriptor.id
             or own != ownership.fencing_token
             or fence != own
-            or not node_state.ruling(now)
+            or not node_state.holds_ownership_lease(now)
         ):
             return None
         # The very first owner has nobody's grants to wait out; a restarted one has those of its
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -76,7 +76,7 @@
         )
         self.node = ProxyNode(card, place.seeds, self.clock.wall, place.cache_bytes, place.regions)
         self.node_state = self.node.node_state
-        self.node_state.serve_on = place.serve_on_ms * MILLI
+        self.node_state.max_stale_serving = place.serve_on_ms * MILLI
         stats = Counter()
         self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.log)
         self.pool = ConnectionPool(self.clock)
@@ -113,8 +113,8 @@
             place.health is None,
             LinkPacer(place.link_mbps),
         )
-        self.node.leaver.spans = place.spans()
-        self.node.leaver.in_flight = lambda: self.front.in_flight
+        self.node.shutdown.spans = place.spans()
+        self.node.shutdown.in_flight = lambda: self.front.in_flight
         self.webs = [WebServer(place.http, self.front, ProxyHandler)]
         if place.health is not None:
             self.webs.append(WebServer(place.health, HealthPage(self.front)))
--- a/src/willowpost/proxy/front.py
+++ b/src/willowpost/proxy/front.py
@@ -82,7 +82,7 @@
 
     def leaving(self) -> bool:
         """Whether this proxy is draining."""
-        return self.node_state.draining
+        return self.node_state.is_draining
 
     def limits(self) -> dict:
         """The limits of the configuration in force, by name."""
@@ -199,15 +199,15 @@
         """
         now = self.clock.now()
         sound = (
-            self.node_state.leased(now)
-            and not self.node_state.draining
+            self.node_state.may_serve(now)
+            and not self.node_state.is_draining
             and self.node_state.emptied_at is None
             and self.node_state.warmed_up(now)
         )
         age = self.node_state.age(now)
         value = {
             "sound": sound,
-            "draining": self.node_state.draining,
+            "draining": self.node_state.is_draining,
             "emptied": self.node_state.emptied_at is not None,
             "slot": self.node_state.tables.slot,
             "version": self.node_state.snapshot.version,
--- a/src/willowpost/proxy/node.py
+++ b/src/willowpost/proxy/node.py
@@ -37,13 +37,15 @@
     ):
         self.node_state = ProxyState(card)
         self.cache = CacheStore(cache_bytes)
-        self.command_client = CommandClient(card.id, card.incarnation, self.node_state.cores, wall)
+        self.command_client = CommandClient(
+            card.id, card.incarnation, self.node_state.store_addresses, wall
+        )
 
         def tables():
             return self.node_state.tables
 
-        self.joiner = FleetJoin(card, tables, self.command_client)
-        self.leaver = GracefulShutdown(self.node_state, self.command_client, self.joiner)
+        self.fleet_join = FleetJoin(card, tables, self.command_client)
+        self.shutdown = GracefulShutdown(self.node_state, self.command_client, self.fleet_join)
         owner = QuotaShareOwner(self.node_state, self.command_client)
         follower = Follower(self.node_state, seeds)
         self.controllers = [
@@ -53,8 +55,8 @@
             Reports(self.node_state),
             self.command_client,
             FailureDetector(card, tables, self.command_client),
-            self.joiner,
-            self.leaver,
+            self.fleet_join,
+            self.shutdown,
             owner,
             QuotaShareTaker(self.node_state),
             AdmissionTokenOwner(self.node_state, owner),
--- a/src/willowpost/proxy/outgoing.py
+++ b/src/willowpost/proxy/outgoing.py
@@ -36,7 +36,7 @@
     def age(self, now: int) -> int | None:
         """The µs since the tables were known to be complete."""
 
-    def hears_quorum(self, now: int) -> bool:
+    def has_quorum_contact(self, now: int) -> bool:
         """Whether a quorum of the voters was heard of a moment ago."""
 
 
@@ -136,7 +136,7 @@
         age = self.node_state.age(now)
         if age is not None:
             self.ages.add(age)
-        if (age is None or age > LEASE + LOOK_SLACK) and self.node_state.hears_quorum(now):
+        if (age is None or age > LEASE + LOOK_SLACK) and self.node_state.has_quorum_contact(now):
             self._violated(Invariant.TABLES_CURRENT, request, receiver, age or 0)
         if request.lifetime.ended:
             left_at = request.lifetime.left_at or now
--- a/src/willowpost/proxy/proxy_state.py
+++ b/src/willowpost/proxy/proxy_state.py
@@ -41,7 +41,7 @@
     # since when the tables have this proxy as joined and not lost
     joined_at: int | None = None
     # the former incarnation was still joined in the first tables seen: its quota was kept
-    held_seat: bool = False
+    kept_quota: bool = False
     # service -> since when this proxy is one of its senders; None: since the service is known here
     sender_since: dict = field(default_factory=dict)
     # (shield, incarnation) -> since when it is seen up
@@ -84,7 +84,7 @@
         large. `leased` may be much longer than that.
         """
         known = self.snapshot.version > 0 or self.tables.configuration.tree is not None
-        return known and self.in_touch(now)
+        return known and self.is_in_touch(now)
 
     def emptied(self, now: int) -> bool:
         """Whether this proxy's zone has been evacuated for at least `ZONE_GRACE`."""
--- a/src/willowpost/proxy/routing/carrier.py
+++ b/src/willowpost/proxy/routing/carrier.py
@@ -41,7 +41,7 @@
         outcome = self.kinds[type(plan)](request, plan, body)
         # the body or a joined fetch may have taken long, or the process was frozen: the lease must
         # still hold before a stored response is sent
-        if outcome.source == "hit" and not self.node_state.leased(self.clock.now()):
+        if outcome.source == "hit" and not self.node_state.may_serve(self.clock.now()):
             raise Rejected(503, "no fresh state updates from the core", 2)
         part = getattr(plan, "part", None)
         if part is not None and outcome.answer.status == 200 and outcome.answer.rest is None:
--- a/src/willowpost/proxy/routing/keeper.py
+++ b/src/willowpost/proxy/routing/keeper.py
@@ -43,11 +43,11 @@
         )
         own = tables.daemons.get(node_state.descriptor.id)
         up = own is not None and own.state is not DaemonState.LOST
-        node_state.held_seat = up and (first or node_state.held_seat)
+        node_state.kept_quota = up and (first or node_state.kept_quota)
         counted = up and (
-            node_state.held_seat or own.incarnation == node_state.descriptor.incarnation
+            node_state.kept_quota or own.incarnation == node_state.descriptor.incarnation
         )
-        since = now - WARMED_UP_AFTER if node_state.held_seat else now
+        since = now - WARMED_UP_AFTER if node_state.kept_quota else now
         node_state.joined_at = (
             None
             if not counted
--- a/src/willowpost/proxy/routing/planner.py
+++ b/src/willowpost/proxy/routing/planner.py
@@ -38,7 +38,7 @@
     def plan(self, request: Request):
         """A RejectPlan, WritePlan, CachePlan or FetchPlan for the request."""
         node_state, now = self.node_state, self.clock.now()
-        if not node_state.leased(now):
+        if not node_state.may_serve(now):
             return RejectPlan(503, "no fresh state updates from the core", 2)
         if node_state.emptied(now):
             return RejectPlan(503, "this zone is emptied", 5)
--- a/src/willowpost/proxy/routing/sending.py
+++ b/src/willowpost/proxy/routing/sending.py
@@ -110,7 +110,7 @@
     def _last_look(self, receiver, request):
         """Makes sure of what must hold when a byte leaves; the lease counts freezes."""
         request.lifetime.check()
-        if not self.node_state.leased(self.clock.now()):
+        if not self.node_state.may_serve(self.clock.now()):
             raise Rejected(503, "no fresh state updates from the core", 2)
         if not receiver.in_force():
             raise ExchangeFailure("went out of force", sent=False)
--- a/src/willowpost/registry/calls/control_api.py
+++ b/src/willowpost/registry/calls/control_api.py
@@ -67,8 +67,8 @@
         return self.runner.clock.now()
 
     def in_touch(self) -> bool:
-        """Whether a quorum confirmed the tables lately (`NodeState.in_touch`)."""
-        return self.node_state.in_touch(self.now())
+        """Whether a quorum confirmed the tables lately (`NodeState.is_in_touch`)."""
+        return self.node_state.is_in_touch(self.now())
 
     def deadline(self, call: Call | None = None) -> int:
         """Return when a call that has just come must be answered; µs, own clock."""
@@ -148,14 +148,14 @@
         deadline = self.deadline() if deadline is None else deadline
         if not self._reconnected():
             return False
-        return self._until(lambda: self._fresh_as_of(asked), deadline, self.in_touch)
+        return self._until(lambda: self._fresh_as_of(asked), deadline, self.is_in_touch)
 
     def _fresh_as_of(self, moment):
         fresh_as_of = self.node_state.fresh_as_of
         return fresh_as_of is not None and fresh_as_of >= moment
 
     def _reconnected(self):
-        return self._until(self.in_touch, self.now() + RECONNECT_SPAN)
+        return self._until(self.is_in_touch, self.now() + RECONNECT_SPAN)
 
     def _followed(self, slot, deadline):
         return self._until(lambda: self.node_state.tables.slot > slot, deadline)
--- a/src/willowpost/registry/calls/origins.py
+++ b/src/willowpost/registry/calls/origins.py
@@ -166,7 +166,7 @@
         beat = OriginHeartbeat(name, origin.load, cold or 0, origin.slots or 0, origin.number)
         self.control_api.runner.inbox.put(HeartbeatReceived(beat, cold is not None))
         # That it drains is in the log: so much is true whatever has happened since.
-        if state != DRAINING and not self.control_api.in_touch():
+        if state != DRAINING and not self.control_api.is_in_touch():
             return out_of_touch()
         return Answer(200, {"origin": name, "state": state})
 
--- a/src/willowpost/registry/calls/pages.py
+++ b/src/willowpost/registry/calls/pages.py
@@ -21,13 +21,13 @@
 
     def _status(self, call: Call) -> Answer:
         node, now = self.control_api.runner.node, self.control_api.now()
-        in_touch = self.control_api.in_touch()
+        in_touch = self.control_api.is_in_touch()
         return Answer(200, {**self.page.make(node, now), "in_touch": in_touch})
 
     def _health(self, call: Call) -> Answer:
         node_state = self.control_api.node_state
-        if node_state.draining:
+        if node_state.is_draining:
             return reject(503, "draining")
-        if not node_state.leased(self.control_api.now()):
+        if not node_state.may_serve(self.control_api.now()):
             return reject(503, "no fresh state updates from the core")
         return Answer(200, {"sound": True})
--- a/src/willowpost/registry/daemon.py
+++ b/src/willowpost/registry/daemon.py
@@ -64,10 +64,10 @@
         )
         self.node = RegistryNode(card, place.seeds, clock.wall, Prober(self.runner).probe)
         router = Router(
-            routes(Front(self.runner, logger)), logger, lambda: self.node.node_state.draining
+            routes(Front(self.runner, logger)), logger, lambda: self.node.node_state.is_draining
         )
-        self.node.leaver.spans = place.spans()
-        self.node.leaver.in_flight = lambda: router.in_flight
+        self.node.shutdown.spans = place.spans()
+        self.node.shutdown.in_flight = lambda: router.in_flight
         self.web = WebServer(place.http, router, CountingHandler)
 
     def start(self) -> None:
--- a/src/willowpost/registry/node.py
+++ b/src/willowpost/registry/node.py
@@ -17,21 +17,23 @@
 
     def __init__(self, card: DaemonDescriptor, seeds, wall, probe):
         self.node_state = NodeState(card)
-        self.command_client = CommandClient(card.id, card.incarnation, self.node_state.cores, wall)
+        self.command_client = CommandClient(
+            card.id, card.incarnation, self.node_state.store_addresses, wall
+        )
 
         def tables():
             return self.node_state.tables
 
-        self.joiner = FleetJoin(card, tables, self.command_client)
-        self.leaver = GracefulShutdown(self.node_state, self.command_client, self.joiner)
+        self.fleet_join = FleetJoin(card, tables, self.command_client)
+        self.shutdown = GracefulShutdown(self.node_state, self.command_client, self.fleet_join)
         follower = Follower(self.node_state, seeds, tree=False)
         self.controllers = [
             follower,
             QuorumRead(self.node_state, follower),
             self.command_client,
             FailureDetector(card, tables, self.command_client),
-            self.joiner,
-            self.leaver,
+            self.fleet_join,
+            self.shutdown,
             OriginHealthMonitor(self.node_state, self.command_client, probe),
         ]
 
--- a/src/willowpost/registry/origin_health.py
+++ b/src/willowpost/registry/origin_health.py
@@ -123,7 +123,7 @@
         return [
             daemon.address
             for kind in ("registry", "proxy")
-            for name, daemon in self.node_state.live(kind).items()
+            for name, daemon in self.node_state.live_daemons(kind).items()
             if name != self.node_state.descriptor.id
         ]
 
@@ -137,7 +137,7 @@
 
     def _look(self, now, plan):
         tables = self.node_state.tables
-        live = self.node_state.live("registry")
+        live = self.node_state.live_daemons("registry")
         self._forget(tables.origins)
         if not self._informed(live, now):
             self.unaware_at = now
@@ -173,7 +173,7 @@
 
     def _informed(self, live, now):
         """Whether the other registries pass heartbeats on to this one, as far as it knows."""
-        return self.node_state.in_touch(now) and self.node_state.descriptor.id in live
+        return self.node_state.is_in_touch(now) and self.node_state.descriptor.id in live
 
     def _care(self, origin, card, since, service, now, plan):
         silent = int(service.get("silent_seconds", 6.0) * SECOND)
--- a/src/willowpost/registry/status.py
+++ b/src/willowpost/registry/status.py
@@ -40,7 +40,9 @@
                 {**MEMBER.encode(voter), "state": _state_of(tables, voter.identity)}
                 for voter in tables.voters
             ],
-            "safe_to_remove": safe_to_remove(tables, node_state.ruling(now)).as_json(),
+            "safe_to_remove": safe_to_remove(
+                tables, node_state.holds_ownership_lease(now)
+            ).as_json(),
             "daemons": {
                 name: {attribute: getattr(daemon, attribute) for attribute in DAEMON_ATTRIBUTES}
                 for name, daemon in sorted(tables.daemons.items())
--- a/src/willowpost/shell/runner.py
+++ b/src/willowpost/shell/runner.py
@@ -87,7 +87,7 @@
         """
         self.inbox.put(ShutdownRequested())
         for reached, then in ((Stage.FINISHING, close), (Stage.GONE, lambda: None)):
-            while STAGES.index(self.node.leaver.stage) < STAGES.index(reached):
+            while STAGES.index(self.node.shutdown.stage) < STAGES.index(reached):
                 gevent.sleep(TICK_SECONDS)
             then()
 
--- a/src/willowpost/sim/core.py
+++ b/src/willowpost/sim/core.py
@@ -141,7 +141,7 @@
 
     def bootstrapped(self):
         """Whether all running stores have bootstrapped."""
-        return all(node_state.bootstrapped for _, node_state in self.node_states())
+        return all(node_state.is_bootstrapped for _, node_state in self.node_states())
 
     def settle(self, span=15.0):
         """Ends every fault, runs for `span` seconds and checks that nothing accepted was lost.
--- a/src/willowpost/sim/fleet/callers.py
+++ b/src/willowpost/sim/fleet/callers.py
@@ -26,9 +26,9 @@
     def _sound(self, seat):
         node_state, now = seat.node.proxy, self.now(seat)
         return (
-            node_state.leased(now)
+            node_state.may_serve(now)
             and node_state.warmed_up(now)
-            and not node_state.draining
+            and not node_state.is_draining
             and node_state.emptied_at is None
         )
 
--- a/src/willowpost/sim/fleet/faults/machines.py
+++ b/src/willowpost/sim/fleet/faults/machines.py
@@ -56,7 +56,7 @@
             name
             for name in world.names
             if any(
-                seat.address == name and node_state.voter
+                seat.address == name and node_state.is_voter
                 for seat, node_state in world.node_states()
             )
         }
@@ -68,7 +68,7 @@
     def newcomer(self):
         """A core machine is gone for good; an empty one stands up at a new address."""
         world = self.world
-        voters = {seat.address for seat, node_state in world.node_states() if node_state.voter}
+        voters = {seat.address for seat, node_state in world.node_states() if node_state.is_voter}
         if (
             self.newcomers < NEWCOMERS
             and len(voters) == 5
@@ -192,5 +192,7 @@
 
     def _disks_whole(self):
         """Whether all five voters hold their own disks: one loss at a time."""
-        voters = {seat.address for seat, node_state in self.world.node_states() if node_state.voter}
+        voters = {
+            seat.address for seat, node_state in self.world.node_states() if node_state.is_voter
+        }
         return voters == set(self.world.names) and len(voters) == 5
--- a/src/willowpost/sim/fleet/nodes.py
+++ b/src/willowpost/sim/fleet/nodes.py
@@ -53,7 +53,7 @@
         self.carrier = Carrier(self.proxy, self.node.cache, clock, self.tries, self.stats)
         self.planner = RequestPlanner(self.proxy, self.node.cache, clock)
         self.in_flight = 0
-        self.node.leaver.in_flight = lambda: self.in_flight
+        self.node.shutdown.in_flight = lambda: self.in_flight
 
     def step(self, event, now):
         """Takes an event: a request, an answer, or one for the control node; `now` is in µs."""
@@ -103,7 +103,7 @@
 
     def _closed(self, message):
         """Whether the listener is closed to this message; open connections go on."""
-        return self.node.leaver.stage not in (Stage.SERVING, Stage.DRAINING) and (
+        return self.node.shutdown.stage not in (Stage.SERVING, Stage.DRAINING) and (
             isinstance(message, SimCall) or message.method == "CONNECT"
         )
 
@@ -153,7 +153,7 @@
         self.world, self.seat = world, seat
         self.node = RegistryNode(descriptor, seeds, wall, self._probe)
         self.registry = self.node.node_state
-        self.node.leaver.in_flight = self.node.command_client.waiting
+        self.node.shutdown.in_flight = self.node.command_client.waiting
 
     def _probe(self, origin, address, path):
         seat = self.world.seats.get(address)
--- a/src/willowpost/sim/fleet/process_rules.py
+++ b/src/willowpost/sim/fleet/process_rules.py
@@ -51,7 +51,7 @@
 
     def _in_force(self, world, seat, proxy):
         """Checks that a proxy that may serve has each configuration in time."""
-        if not proxy.leased(world.now(seat)) or seat.frozen_until > world.time:
+        if not proxy.may_serve(world.now(seat)) or seat.frozen_until > world.time:
             return
         version_in_force = proxy.snapshot.version
         for accepted, version in self.traffic.configurations[-3:]:
--- a/src/willowpost/sim/replacement_faults.py
+++ b/src/willowpost/sim/replacement_faults.py
@@ -79,7 +79,7 @@
 
     def seats_filled(self) -> bool:
         """Whether every voter of every store's tables is a live store with its own disk."""
-        live = {state.me.identity for _, state in self.world.node_states()}
+        live = {state.member.identity for _, state in self.world.node_states()}
         return all(
             state.tables.voter_identities() <= live and len(state.tables.voters) == self.size
             for _, state in self.world.node_states()
@@ -122,7 +122,7 @@
 
     def _terminate(self, name):
         self.planned += 1
-        leaver = self.world.seats[name].node.leaver
+        leaver = self.world.seats[name].node.shutdown
         self.world.give(name, ShutdownRequested())
         end = self.world.time + WITHIN_GRACE
         while not leaver.gone and self.world.time < end:
--- a/src/willowpost/sim/scripted_core.py
+++ b/src/willowpost/sim/scripted_core.py
@@ -131,7 +131,7 @@
             name: the store.
             **spans: of LeaveSpans, in µs.
         """
-        leaver = self.seats[name].node.leaver
+        leaver = self.seats[name].node.shutdown
         leaver.spans = StoreShutdownTimeouts(**spans)
         self.give(name, ShutdownRequested())
         return lambda: leaver.gone
--- a/src/willowpost/store/daemon.py
+++ b/src/willowpost/store/daemon.py
@@ -78,7 +78,7 @@
             slot=node.node_state.tables.slot,
             epoch=node.node_state.tables.epoch,
         )
-        node.leaver.spans = place.store_spans()
+        node.shutdown.spans = place.store_spans()
         self.node = node
         self.runner.start(node)
 
@@ -90,9 +90,9 @@
         """
         if self.node is None:
             return
-        spans, clock = self.node.leaver.spans, self.runner.clock
+        spans, clock = self.node.shutdown.spans, self.runner.clock
         give_up_at = clock.now() + max(spans.handover, spans.settle)
         self.runner.inbox.put(ShutdownRequested())
-        while not self.node.leaver.gone and clock.now() < give_up_at:
+        while not self.node.shutdown.gone and clock.now() < give_up_at:
             gevent.sleep(TICK_SECONDS)
         self.runner.mesh.stop()
--- a/src/willowpost/store/graceful_shutdown.py
+++ b/src/willowpost/store/graceful_shutdown.py
@@ -65,7 +65,7 @@
         self.spans = StoreShutdownTimeouts()
         self.node_state = node_state
         self.command_client = command_client
-        self.joiner = joiner
+        self.fleet_join = joiner
         self.repair = repair
         self.incarnation = incarnation
         self.stage = StoreShutdownStage.SERVING
@@ -86,20 +86,20 @@
         return plan
 
     def _begin(self, now, plan):
-        self.joiner.leaving = self.repair.leaving = True
+        self.fleet_join.leaving = self.repair.leaving = True
         if self._successor() is None:
             self.end_by = now + self.spans.settle
             self._move(StoreShutdownStage.SETTLING, plan)
             return
         self.end_by = now + self.spans.handover
         self._move(StoreShutdownStage.HANDING_OVER, plan)
-        identity = self.node_state.me.identity
+        identity = self.node_state.member.identity
         op = DrainDaemon(identity, self.incarnation)
         plan.join(self.command_client.step(SubmitOperations(None, (op,), self.spans.handover), now))
 
     def _tick(self, now, plan):
         if self.stage is StoreShutdownStage.HANDING_OVER:
-            if not self.node_state.voter:
+            if not self.node_state.is_voter:
                 self._move(StoreShutdownStage.SETTLING, plan)
             elif now >= self.end_by or self._successor() is None:
                 self.end_by = min(self.end_by, now + self.spans.settle)
@@ -109,7 +109,11 @@
 
     def _successor(self) -> str | None:
         node_state = self.node_state
-        return successor_of(node_state.tables, node_state.me.identity) if node_state.voter else None
+        return (
+            successor_of(node_state.tables, node_state.member.identity)
+            if node_state.is_voter
+            else None
+        )
 
     def _settled(self) -> bool:
         """Whether all data that this store counted for in a quorum is safe without it.
@@ -117,16 +121,16 @@
         A voter: n - f others hold every slot that it holds. A replaced voter: the log has gone on
         behind the barrier of the change. A learner never counted.
         """
-        node_state, me = self.node_state, self.node_state.me.identity
-        if not node_state.voter:
+        node_state, me = self.node_state, self.node_state.member.identity
+        if not node_state.is_voter:
             replaced = me in previous_identities(node_state.tables)
             return not replaced or is_change_complete(node_state.tables)
-        others = [identity for identity in node_state.members if identity != me]
+        others = [identity for identity in node_state.voter_addresses if identity != me]
         holding = sum(
             node_state.synced_indexes.get(identity, 0) >= node_state.tables.slot
             for identity in others
         )
-        return holding >= min(node_state.limits.heard, len(others))
+        return holding >= min(node_state.quorum_sizes.quorum, len(others))
 
     def _move(self, stage: StoreShutdownStage, plan: Plan) -> None:
         if stage not in NEXT[self.stage]:
--- a/src/willowpost/store/node.py
+++ b/src/willowpost/store/node.py
@@ -46,7 +46,7 @@
         )
         repair = VoterRepair(self.node_state, self.command_client, incarnation, rights.max_voters)
         joiner = FleetJoin(self.descriptor, self._tables, self.command_client)
-        self.leaver = StoreShutdown(
+        self.shutdown = StoreShutdown(
             self.node_state, self.command_client, joiner, repair, incarnation
         )
         self.controllers: list[Controller] = [
@@ -62,7 +62,7 @@
             repair,
             FailureDetector(self.descriptor, self._tables, self.command_client),
             joiner,
-            self.leaver,
+            self.shutdown,
         ]
 
     def step(self, event, now: int) -> Plan:
@@ -76,5 +76,5 @@
         return self.node_state.tables
 
     def _cores(self):
-        mine = [self.node_state.me.address] if self.node_state.voter else []
-        return mine + self.node_state.others()
+        mine = [self.node_state.member.address] if self.node_state.is_voter else []
+        return mine + self.node_state.other_addresses()
--- a/src/willowpost/store/voter_repair.py
+++ b/src/willowpost/store/voter_repair.py
@@ -44,9 +44,9 @@
 
     def step(self, event, now: int) -> Plan:
         """On a tick: send the operation that is due, if any; a request at most once a second."""
-        if not isinstance(event, Tick) or not self.node_state.bootstrapped:
+        if not isinstance(event, Tick) or not self.node_state.is_bootstrapped:
             return Plan()
-        if self.node_state.voter:
+        if self.node_state.is_voter:
             return self._open_epoch(now)
         if self.leaving or now - self.asked_at < ASK_EVERY or not self._whole(now):
             return Plan()
@@ -60,7 +60,7 @@
     def _note_readiness(self, plan) -> None:
         """Log once per incarnation that this store could replace a voter."""
         tables = self.node_state.tables
-        if not self.noted and self.node_state.me.identity in tables.daemons:
+        if not self.noted and self.node_state.member.identity in tables.daemons:
             self.noted = True
             plan.log("repair", "a learner that holds what the voters hold", slot=tables.slot)
 
@@ -82,17 +82,17 @@
         return self._ask(OpenEpoch(tables.epoch), now, ASKED_FOR)
 
     def _was_voter_before(self, tables) -> bool:
-        me = self.node_state.me.identity
+        me = self.node_state.member.identity
         return me in tables.previous_voters.identities()
 
     def _ask_for_seat(self, member, now) -> Plan:
-        operation = ReplaceVoter(member.identity, self.node_state.me)
+        operation = ReplaceVoter(member.identity, self.node_state.member)
         plan = self._ask(operation, now, ASKED_FOR)
         plan.log("repair", "asks for a voter's seat", replaced=member.name)
         return plan
 
     def _offer(self, now) -> Plan:
-        offer = OfferVoter(self.node_state.me.identity, self.incarnation, self.max_voters)
+        offer = OfferVoter(self.node_state.member.identity, self.incarnation, self.max_voters)
         plan = self._ask(offer, now)
         voters = len(self.node_state.tables.voters)
         plan.log("repair", "offers itself as one more voter", voters=voters)
@@ -108,7 +108,7 @@
 
     def _lost(self):
         """The voter to replace: the one formerly on this machine, a lost or a leaving one."""
-        return replaceable_by(self.node_state.tables, self.node_state.me)
+        return replaceable_by(self.node_state.tables, self.node_state.member)
 
     def _may_add_voters(self):
         """Whether to offer this store as one more voter.
@@ -116,7 +116,7 @@
         Once per incarnation, and again when the log would accept the offer now or has dropped it;
         not each second while there is no second learner.
         """
-        tables, me = self.node_state.tables, self.node_state.me.identity
+        tables, me = self.node_state.tables, self.node_state.member.identity
         learner = tables.daemons.get(me)
         if (
             learner is None
--- a/tests/compatibility/test_store_folders.py
+++ b/tests/compatibility/test_store_folders.py
@@ -45,7 +45,9 @@
             with self.subTest(store=store.name):
                 state = self.restored(self.loaded(store))
                 self.assertEqual((store / "tables.json").read_text(), state.tables.text())
-                self.assertEqual((store / "rewritten.wp").read_bytes(), segment_of(state.segment()))
+                self.assertEqual(
+                    (store / "rewritten.wp").read_bytes(), segment_of(state.segment_records())
+                )
 
     def test_the_folders_hold_every_kind_of_record(self):
         records = [record for store in STORES.iterdir() for record in self.loaded(store)]
--- a/tests/consensus/test_bootstrap_fault_schedules.py
+++ b/tests/consensus/test_bootstrap_fault_schedules.py
@@ -15,7 +15,7 @@
 @dataclass(frozen=True, slots=True)
 class EachAlone(Thresholds):
     @property
-    def heard(self):
+    def quorum(self):
         return 1
 
     @property
@@ -23,14 +23,14 @@
         return 1
 
     @property
-    def decides(self):
+    def deciding_votes(self):
         return 1
 
 
 @dataclass(frozen=True, slots=True)
 class OneVoteDecides(Thresholds):
     @property
-    def decides(self):
+    def deciding_votes(self):
         return 1
 
 
--- a/tests/consensus/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -127,7 +127,9 @@
             lambda world, seat, event, plan: told.extend(
                 (seat.address, message.piece.slot, message.piece.offset)
                 for address, message in plan.sends
-                if address == "s2" and isinstance(message, CatchupResponse) and message.piece is not None
+                if address == "s2"
+                and isinstance(message, CatchupResponse)
+                and message.piece is not None
             )
         )
         partial = self.begun(core)
@@ -202,7 +204,7 @@
         # "A:1" is a follower here too: whom it asks makes no difference
         self.nodes = {
             "A:1": NodeState(self.descriptor("A"), whole, fresh_as_of=0),
-            "r:1": NodeState(self.descriptor("r"), seed_cores=("A:1",)),
+            "r:1": NodeState(self.descriptor("r"), seed_store_addresses=("A:1",)),
         }
         self.followers = {
             address: Follower(node, [], tree=False) for address, node in self.nodes.items()
@@ -214,7 +216,7 @@
     def run(self, span):
         """Until the second one is fresh; the time that it took in us, or None."""
         for now in range(0, span, 10 * MILLI):
-            self.nodes["A:1"].whole_as_of(now)
+            self.nodes["A:1"].confirm_as_of(now)
             while self.heap and self.heap[0][0] <= now:
                 _, _, target, source, message = heappop(self.heap)
                 self.step(target, Received(source, message), now)
--- a/tests/consensus/test_core_fault_schedules.py
+++ b/tests/consensus/test_core_fault_schedules.py
@@ -16,11 +16,11 @@
         return 2
 
     @property
-    def heard(self):
+    def quorum(self):
         return 2
 
     @property
-    def decides(self):
+    def deciding_votes(self):
         return 1
 
 
--- a/tests/consensus/test_core_growth.py
+++ b/tests/consensus/test_core_growth.py
@@ -29,7 +29,7 @@
     "one has decided it": lambda world: epochs(world).count(2) >= 1,
     "two have": lambda world: epochs(world).count(2) >= 2,
     "one has opened the new epoch": lambda world: any(
-        node_state.passed >= 2 for _, node_state in world.node_states()
+        node_state.passed_epoch >= 2 for _, node_state in world.node_states()
     ),
     "all have": lambda world: epochs(world).count(2) == 5,
 }
@@ -142,7 +142,9 @@
     """
 
     def __init__(self, seed):
-        self.world = world = FleetWorld(seed, members=3, rights=VoterPolicy(bootstrap_from_seeds=True))
+        self.world = world = FleetWorld(
+            seed, members=3, rights=VoterPolicy(bootstrap_from_seeds=True)
+        )
         world.open()
         world.checks.append(self.look)
         self.knows = None
--- a/tests/consensus/test_epoch_barrier.py
+++ b/tests/consensus/test_epoch_barrier.py
@@ -44,7 +44,7 @@
 
 def replica(tables=TABLES):
     node_state = ReplicaState(Member("A", "A", "a", "A"))
-    node_state.take(tables)
+    node_state.install_tables(tables)
     return node_state
 
 
@@ -61,17 +61,17 @@
         ):
             node_state = replica()
             for identity, slot in synced.items():
-                node_state.hear_synced_index(identity, slot)
+                node_state.record_synced_index(identity, slot)
             self.assertEqual(passed, is_passed(node_state), synced)
 
     def test_nothing_of_the_slot_of_the_change_is_accepted_before(self):
         node_state = replica()
-        node_state.hear_synced_index("D", FIRST)
-        self.assertEqual(0, node_state.safe())
-        node_state.hear_synced_index("C", FIRST - 1)
-        self.assertEqual(FIRST - 1, node_state.safe())
-        node_state.hear_synced_index("B", FIRST)
-        self.assertEqual(FIRST, node_state.safe())
+        node_state.record_synced_index("D", FIRST)
+        self.assertEqual(0, node_state.safe_slot())
+        node_state.record_synced_index("C", FIRST - 1)
+        self.assertEqual(FIRST - 1, node_state.safe_slot())
+        node_state.record_synced_index("B", FIRST)
+        self.assertEqual(FIRST, node_state.safe_slot())
 
     def test_a_ballot_state_of_the_first_slot_says_that_its_sender_passed(self):
         node_state = replica()
@@ -84,8 +84,8 @@
 
     def test_it_is_on_disk_before_the_first_ballot_state_leaves(self):
         node_state = replica()
-        node_state.hear_synced_index("B", FIRST)
-        node_state.queue.push(Command("x", 1, 1, 1, "[]"), 0)
+        node_state.record_synced_index("B", FIRST)
+        node_state.pending_commands.push(Command("x", 1, 1, 1, "[]"), 0)
         plan = Voting(node_state).step(Tick(), 1)
         self.assertEqual(["passed", "ballot_state"], [record["k"] for record in plan.records])
 
@@ -107,12 +107,12 @@
 
     def test_late_votes_of_a_replaced_identity_are_not_heard(self):
         node_state = self.heard(BallotState("C", 1, FIRST, "x", None, (1,), (1,), agreed="x"))
-        self.assertEqual({}, node_state.heard)
+        self.assertEqual({}, node_state.ballot_states)
         self.assertNotIn("C", node_state.synced_indexes)
 
     def test_a_ballot_state_of_a_former_epoch_by_a_member_is_not_heard(self):
         node_state = self.heard(BallotState("B", 1, FIRST, "x", None, (1,), (1,), agreed="x"))
-        self.assertEqual({}, node_state.heard)
+        self.assertEqual({}, node_state.ballot_states)
 
     def test_early_ballot_states_are_taken_only_in_their_epoch_and_of_members(self):
         node_state = self.heard(
@@ -121,14 +121,18 @@
             BallotState("D", 2, FIRST, "new"),
             tables=BEFORE,
         )
-        node_state.take(TABLES)
-        self.assertEqual({"D": "new"}, {name: b.proposal for name, b in node_state.heard.items()})
+        node_state.install_tables(TABLES)
+        self.assertEqual(
+            {"D": "new"}, {name: b.proposal for name, b in node_state.ballot_states.items()}
+        )
 
     def test_the_own_ballot_state_ends_with_its_slot(self):
         node_state = replica(BEFORE)
-        node_state.own = BallotState("A", 1, FIRST - 1, "x", None, (1,), (1,), agreed="x")
-        node_state.take(TABLES)
-        self.assertEqual((None, {}), (node_state.own, node_state.heard))
+        node_state.own_ballot_state = BallotState(
+            "A", 1, FIRST - 1, "x", None, (1,), (1,), agreed="x"
+        )
+        node_state.install_tables(TABLES)
+        self.assertEqual((None, {}), (node_state.own_ballot_state, node_state.ballot_states))
 
     def test_a_restart_with_a_torn_tail_knows_less_but_says_nothing_else(self):
         snapshot = {"k": "snapshot", "text": TABLES.text(), "log_floor": FIRST, "passed": 2}
@@ -144,7 +148,11 @@
             node_state.restore(whole[:kept], 0)
             self.assertEqual(
                 ("x/1/1", states, "[]"),
-                (node_state.own.proposal, node_state.own.states, node_state.own.command.body),
+                (
+                    node_state.own_ballot_state.proposal,
+                    node_state.own_ballot_state.states,
+                    node_state.own_ballot_state.command.body,
+                ),
             )
             self.assertTrue(is_passed(node_state))
 
@@ -240,7 +248,9 @@
         self.assertIn("not founded", safe_to_remove(Tables(), True).reasons[0])
         for state in (DaemonState.LOST, DaemonState.DRAINING):
             daemons = {**TABLES.daemons, "B": store("B", state)}
-            self.assertEqual((f"voter B is {state.value}",), self.reasons(daemons=daemons, **settled))
+            self.assertEqual(
+                (f"voter B is {state.value}",), self.reasons(daemons=daemons, **settled)
+            )
         self.assertEqual(3, len(self.reasons(daemons={}, **settled)))
 
 
--- a/tests/consensus/test_weakmvc.py
+++ b/tests/consensus/test_weakmvc.py
@@ -101,7 +101,7 @@
             limits = Thresholds(n)
             self.assertEqual(
                 ((n - 1) // 2, n - (n - 1) // 2, n // 2 + 1, (n - 1) // 2 + 1),
-                (limits.f, limits.heard, limits.majority, limits.decides),
+                (limits.f, limits.quorum, limits.majority, limits.deciding_votes),
             )
 
 
--- a/tests/drill/test_capacity.py
+++ b/tests/drill/test_capacity.py
@@ -63,7 +63,7 @@
             seat for seat in fleet.seats.values() if hasattr(seat.node.node_state, "leased")
         ]
         for seat in followers:
-            self.assertTrue(seat.node.node_state.leased(fleet.now(seat)), seat.address)
+            self.assertTrue(seat.node.node_state.may_serve(fleet.now(seat)), seat.address)
             self.assertGreater(seat.node.node_state.tables.slot - began, asked - 10, seat.address)
             # nobody joined, left or was suspected
             self.assertIs(fleet.tables.daemons, seat.node.node_state.tables.daemons)
--- a/tests/drill/test_soak.py
+++ b/tests/drill/test_soak.py
@@ -9,7 +9,7 @@
 from willowpost.common.clock import SECOND
 from willowpost.drill.rules import Findings
 from willowpost.drill.soak.callers import KEPT, ONCE, REPEATABLE, CallerTally, Sent
-from willowpost.drill.soak.judge import Record, OriginShutdown, SoakRules
+from willowpost.drill.soak.judge import OriginShutdown, Record, SoakRules
 from willowpost.drill.soak.run import Soak
 from willowpost.drill.soak.schedule import Kind, Parts, drawn
 
--- a/tests/node/test_follower.py
+++ b/tests/node/test_follower.py
@@ -56,8 +56,10 @@
             ),
             10 * SECOND,
         )
-        self.assertEqual((90, ()), (self.node_state.tables.slot, self.node_state.seed_cores))
-        self.assertEqual({"C:1", "D:1", "E:1"}, set(self.node_state.cores()))
+        self.assertEqual(
+            (90, ()), (self.node_state.tables.slot, self.node_state.seed_store_addresses)
+        )
+        self.assertEqual({"C:1", "D:1", "E:1"}, set(self.node_state.store_addresses()))
 
     def test_it_never_goes_back_whomever_it_asks(self):
         self.ticks(4 * SECOND)
@@ -77,7 +79,7 @@
         self.follower.step(
             Received("x:1", Hello(answer=True, bootstrapped=True, known=members("D"))), SECOND
         )
-        self.assertEqual((), self.node_state.seed_cores)
+        self.assertEqual((), self.node_state.seed_store_addresses)
 
 
 if __name__ == "__main__":
--- a/tests/node/test_graceful_shutdown.py
+++ b/tests/node/test_graceful_shutdown.py
@@ -30,27 +30,29 @@
 
 class Stages(unittest.TestCase):
     def setUp(self):
-        self.node_state = NodeState(DESCRIPTOR, Tables(daemons={DESCRIPTOR.id: daemon_entry(DESCRIPTOR.id, incarnation=7)}))
+        self.node_state = NodeState(
+            DESCRIPTOR, Tables(daemons={DESCRIPTOR.id: daemon_entry(DESCRIPTOR.id, incarnation=7)})
+        )
         self.command_client = Asker()
-        self.leaver = GracefulShutdown(
+        self.shutdown = GracefulShutdown(
             self.node_state,
             self.command_client,
             type("Joins", (), {"leaving": False})(),
             ShutdownTimeouts(2500 * MILLI, 2000 * MILLI, 600 * MILLI),
         )
         self.in_flight = 0
-        self.leaver.in_flight = lambda: self.in_flight
-        self.leaver.step(ShutdownRequested(), 0)
+        self.shutdown.in_flight = lambda: self.in_flight
+        self.shutdown.step(ShutdownRequested(), 0)
 
     def until(self, stage):
         return next(
             now
             for now in range(0, 20_000, 20)
-            if self.leaver.step(Tick(), now * MILLI) and self.leaver.stage is stage
+            if self.shutdown.step(Tick(), now * MILLI) and self.shutdown.stage is stage
         )
 
     def test_idle_it_is_gone_soon_after_the_drain(self):
-        self.assertTrue(self.node_state.draining)
+        self.assertTrue(self.node_state.is_draining)
         self.assertEqual(
             (2500, 2600, 3200),
             (self.until(Stage.FINISHING), self.until(Stage.LEAVING), self.until(Stage.GONE)),
@@ -63,8 +65,8 @@
     def test_whoever_has_left_the_log_need_not_wait(self):
         self.until(Stage.LEAVING)
         self.node_state.tables = Tables()
-        self.leaver.step(Tick(), 2700 * MILLI)
-        self.assertIs(Stage.GONE, self.leaver.stage)
+        self.shutdown.step(Tick(), 2700 * MILLI)
+        self.assertIs(Stage.GONE, self.shutdown.stage)
 
     def test_a_request_in_flight_is_waited_for_and_no_longer_than_the_spans(self):
         self.in_flight = 1
--- a/tests/node/test_request_number_reuse.py
+++ b/tests/node/test_request_number_reuse.py
@@ -17,7 +17,9 @@
 
 
 def follower_of(incarnation, age=None):
-    descriptor = DaemonDescriptor("r/registry", "registry", "core", "r", "a", "r:1", "r:2", incarnation)
+    descriptor = DaemonDescriptor(
+        "r/registry", "registry", "core", "r", "a", "r:1", "r:2", incarnation
+    )
     node_state = NodeState(descriptor, Tables(slot=5, epoch=1, voters=VOTERS), fresh_as_of=age)
     follower = Follower(node_state, [], tree=False)
     return node_state, [follower, QuorumRead(node_state, follower)]
--- a/tests/node/test_stale_incarnation_answers.py
+++ b/tests/node/test_stale_incarnation_answers.py
@@ -115,10 +115,14 @@
         _, old = self.read(FIRST)
         reads, question = self.read(SECOND_INCARNATION)
         for name in "AB":
-            reads.step(Received(f"{name}:1", QuorumReadResponse(old.nonce, name, 5)), SECOND + MILLI)
+            reads.step(
+                Received(f"{name}:1", QuorumReadResponse(old.nonce, name, 5)), SECOND + MILLI
+            )
         self.assertIsNone(reads.node_state.fresh_as_of)
         for name in "AB":
-            reads.step(Received(f"{name}:1", QuorumReadResponse(question.nonce, name, 5)), SECOND + MILLI)
+            reads.step(
+                Received(f"{name}:1", QuorumReadResponse(question.nonce, name, 5)), SECOND + MILLI
+            )
         self.assertEqual(SECOND, reads.node_state.fresh_as_of)
 
 
@@ -134,7 +138,9 @@
         taker.step(Received("o:1", QuotaShareResponse(old.nonce, "g", 1, 9000)), SECOND + MILLI)
         self.assertEqual({}, taker.node_state.grants)
         # nor one for another service than the question was about
-        taker.step(Received("o:1", QuotaShareResponse(question.nonce, "h", 1, 9000)), SECOND + MILLI)
+        taker.step(
+            Received("o:1", QuotaShareResponse(question.nonce, "h", 1, 9000)), SECOND + MILLI
+        )
         self.assertEqual({}, taker.node_state.grants)
 
     def wanted(self, incarnation):
--- a/tests/proxy/admission/test_owner_restart_fencing.py
+++ b/tests/proxy/admission/test_owner_restart_fencing.py
@@ -60,20 +60,20 @@
 
     def test_fresh_it_waits_for_what_its_former_life_granted(self):
         node_state, held = self.restarted()
-        node_state.whole_as_of(SECOND + FENCE_WAIT)
+        node_state.confirm_as_of(SECOND + FENCE_WAIT)
         self.assertEqual([], self.granted(held, SECOND + FENCE_WAIT - MILLI))
         self.assertEqual(1, len(self.granted(held, SECOND + FENCE_WAIT)))
 
     def test_under_another_fence_or_after_a_freeze_it_grants_nothing(self):
         node_state, held = self.restarted()
-        node_state.whole_as_of(10 * SECOND)
+        node_state.confirm_as_of(10 * SECOND)
         self.assertEqual([], self.granted(held, 10 * SECOND, FENCE - 1))
         self.assertEqual(1, len(self.granted(held, 10 * SECOND + LEASE)))
         self.assertEqual([], self.granted(held, 10 * SECOND + LEASE + 1))
 
     def test_without_the_lease_it_would_grant_by_old_tables(self):
         _, held = self.restarted()
-        with patch.object(NodeState, "ruling", lambda self, now: True):
+        with patch.object(NodeState, "holds_ownership_lease", lambda self, now: True):
             self.assertEqual(1, len(self.granted(held, 60 * SECOND)))
 
 
@@ -89,11 +89,11 @@
         held.step(Tick(), SECOND)
         tokens = AdmissionTokenOwner(node_state, held)
         self.assertFalse(self.given(tokens, 60 * SECOND), "no read of this life")
-        node_state.whole_as_of(60 * SECOND)
+        node_state.confirm_as_of(60 * SECOND)
         self.assertFalse(self.given(tokens, 60 * SECOND, FENCE - 1), "another fence")
         self.assertTrue(self.given(tokens, 60 * SECOND))
         self.assertFalse(self.given(tokens, 64 * SECOND), "the lease has run out")
-        node_state.whole_as_of(64 * SECOND)
+        node_state.confirm_as_of(64 * SECOND)
         self.assertTrue(self.given(tokens, 64 * SECOND))
 
 
@@ -107,7 +107,7 @@
         for now in (SECOND, 2 * SECOND):
             ((_, update),) = source.step(Received("q:1", Poll(1, 9)), now).sends
             told.append((update.fresh, update.age))
-            node_state.whole_as_of(SECOND)
+            node_state.confirm_as_of(SECOND)
         self.assertEqual([(False, 0), (True, SECOND)], told)
 
     def test_a_claim_under_a_fence_that_moved_on_is_refused(self):
--- a/tests/proxy/routing/test_denials.py
+++ b/tests/proxy/routing/test_denials.py
@@ -44,7 +44,7 @@
     def served(self):
         proxy = ServedProxy()
         self.addCleanup(proxy.stop)
-        proxy.node_state.serve_on = 60 * SECOND
+        proxy.node_state.max_stale_serving = 60 * SECOND
         return proxy
 
     def test_an_old_table_asks_to_come_back(self):
--- a/tests/proxy/routing/test_shields.py
+++ b/tests/proxy/routing/test_shields.py
@@ -54,7 +54,9 @@
 
 def tables(slot=5, **states):
     tree = ConfigurationChecker().check_value(TREE).unwrap()
-    daemons = {f"e{number}": proxy_entry(f"e{number}", "edge", "abc"[number]) for number in range(3)}
+    daemons = {
+        f"e{number}": proxy_entry(f"e{number}", "edge", "abc"[number]) for number in range(3)
+    }
     daemons |= {
         name: proxy_entry(name, "shield", zone, DaemonState(states.get(name, "up")))
         for name, zone in (("h0", "a"), ("h1", "b"))
@@ -114,7 +116,9 @@
         edges = []
         for number in range(3):
             state = ProxyState(
-                DaemonDescriptor(f"e{number}", "proxy", "edge", f"e{number}", "abc"[number], "x", "x", 1)
+                DaemonDescriptor(
+                    f"e{number}", "proxy", "edge", f"e{number}", "abc"[number], "x", "x", 1
+                )
             )
             state.tables = tables()
             keeper = SnapshotKeeper(state, CacheStore(), REGIONS)
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -57,7 +57,7 @@
         lines = []
         outgoing.say = lambda *words, **fields: lines.append((words, fields))
         self.proxy.set_origins([origin])
-        state.quorum_heard_at = self.proxy.clock.now()
+        state.quorum_contact_at = self.proxy.clock.now()
         state.fresh_as_of = self.proxy.clock.now() - 2_000_000
         request = self.proxy.front._request(ScriptedCall(), 0, RequestLifetime())
         with outgoing.sending(request, "somebody", False, False):
--- a/tests/registry/test_origin_lifecycle.py
+++ b/tests/registry/test_origin_lifecycle.py
@@ -82,12 +82,12 @@
             end(self.register("one").origin)
             for _ in range(2):
                 self.assertFalse(self.register("one").is_accepted)
-            self.assertFalse(self.register("one", address="127.0.0.1:2", is_draining=True).is_accepted)
+            self.assertFalse(
+                self.register("one", address="127.0.0.1:2", is_draining=True).is_accepted
+            )
             self.assertEqual({}, self.log.tables.origins)
             self.assertTrue(self.log.put(EndOrigin("one")).is_accepted)
-            self.assertEqual(
-                "gone", self.log.put(ChangeOriginState("draining", token="one")).state
-            )
+            self.assertEqual("gone", self.log.put(ChangeOriginState("draining", token="one")).state)
             self.assertEqual(("one",), self.log.tables.ended_tokens)
             self.assertTrue(self.register("two").is_accepted)
 
@@ -105,7 +105,9 @@
     def test_another_incarnation_at_its_address_ends_it_but_its_own_new_address_does_not(self):
         self.register("one")
         moved = self.register("one", address="127.0.0.1:2").origin
-        self.assertEqual(([moved], ()), (list(self.log.tables.origins), self.log.tables.ended_tokens))
+        self.assertEqual(
+            ([moved], ()), (list(self.log.tables.origins), self.log.tables.ended_tokens)
+        )
         self.register("two", address="127.0.0.1:2")
         self.assertEqual(("one",), self.log.tables.ended_tokens)
 
@@ -152,9 +154,13 @@
 
     def test_a_used_address_waits_unless_the_service_names_its_incarnations(self):
         self.register("one")
-        self.assertEqual("waiting", self.register("two", service="other", is_warming_up=False).state)
+        self.assertEqual(
+            "waiting", self.register("two", service="other", is_warming_up=False).state
+        )
         self.assertEqual("warm", self.register("three", service="named", is_warming_up=False).state)
-        self.assertEqual("waiting", self.register("four", service="plain", is_warming_up=False).state)
+        self.assertEqual(
+            "waiting", self.register("four", service="plain", is_warming_up=False).state
+        )
 
     def test_a_turn_of_an_earlier_beat_gives_route(self):
         name = self.register("one", is_warming_up=False, heartbeat_number=3).origin
@@ -255,10 +261,10 @@
                 configuration=ActiveConfiguration(1, {"services": {"careful": service}}),
             ),
         )
-        self.probed, self.now, self.in_touch = [], 100 * SECOND, True
+        self.probed, self.now, self.is_in_touch = [], 100 * SECOND, True
         self.beats = OriginHealthMonitor(
             self.node_state,
-            CommandClient("r0/registry", 1, self.node_state.cores, lambda: 1),
+            CommandClient("r0/registry", 1, self.node_state.store_addresses, lambda: 1),
             lambda *probe: self.probed.append((self.now, probe)),
         )
 
@@ -274,8 +280,8 @@
         The command client submits them some ms later.
         """
         self.now += after
-        if self.in_touch:
-            self.node_state.whole_as_of(self.now)
+        if self.is_in_touch:
+            self.node_state.confirm_as_of(self.now)
         plan = self.beats.step(event, self.now)
         plan.join(self.beats.command_client.step(Tick(), self.now + 10 * MILLI))
         ops = [
@@ -286,7 +292,9 @@
         ]
         self.beats.command_client.pending.clear()
         return [
-            (address, message) for address, message in plan.sends if not isinstance(message, SubmitCommand)
+            (address, message)
+            for address, message in plan.sends
+            if not isinstance(message, SubmitCommand)
         ], ops
 
     def pass_time(self, span, step=100 * MILLI):
@@ -312,21 +320,34 @@
         self.assertEqual(([("r1", beat), ("p0", beat)], []), (sent, ops))
 
     def test_a_late_beat_changes_nothing_whoever_heard_the_later_one(self):
-        for later in (HeartbeatReceived(OriginHeartbeat("o", number=6), True), Received("r1", OriginHeartbeat("o", number=6))):
+        for later in (
+            HeartbeatReceived(OriginHeartbeat("o", number=6), True),
+            Received("r1", OriginHeartbeat("o", number=6)),
+        ):
             self.setUp()
             self.step(later)
             for number in (6, 5, 0):
                 self.assertEqual(
-                    ([], []), self.step(HeartbeatReceived(OriginHeartbeat("o", 1, 1500, number=number), True), SECOND)
+                    ([], []),
+                    self.step(
+                        HeartbeatReceived(OriginHeartbeat("o", 1, 1500, number=number), True),
+                        SECOND,
+                    ),
+                )
+                self.assertEqual(
+                    ([], []), self.step(Received("r1", OriginHeartbeat("o", number=number)))
                 )
-                self.assertEqual(([], []), self.step(Received("r1", OriginHeartbeat("o", number=number))))
             self.assertEqual(100 * SECOND, self.beats.heard["o"])
-            self.assertEqual(2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", number=7)))[0]))
+            self.assertEqual(
+                2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", number=7)))[0])
+            )
 
     def test_beats_without_numbers_all_count(self):
         for _ in range(3):
             self.assertEqual(2, len(self.step(HeartbeatReceived(OriginHeartbeat("o")), SECOND)[0]))
-            self.assertEqual(2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", 3)), SECOND)[0]))
+            self.assertEqual(
+                2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", 3)), SECOND)[0])
+            )
         self.assertEqual(self.now, self.beats.heard["o"])
 
     def test_who_takes_a_beat_proposes_at_once_what_it_says_of_being_cold(self):
@@ -336,15 +357,24 @@
         )
         self.set_origin(state=OriginState.WARMING_UP)
         self.assertEqual(
-            [ChangeOriginState("warm", "o", reports_warm_up=True, heartbeat_number=7, known_slot=7)],
+            [
+                ChangeOriginState(
+                    "warm", "o", reports_warm_up=True, heartbeat_number=7, known_slot=7
+                )
+            ],
             self.step(HeartbeatReceived(OriginHeartbeat("o", number=7), True), 10 * MILLI)[1],
         )
-        self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=8), True))[1])
+        self.assertEqual(
+            [], self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=8), True))[1]
+        )
         self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", number=9)))[1])
         self.assertEqual([], self.step(Received("r1", OriginHeartbeat("o", number=10)))[1])
         for state in (OriginState.WAITING, OriginState.DRAINING):
             self.set_origin(state=state)
-            self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", number=99 + len(state)), True))[1])
+            self.assertEqual(
+                [],
+                self.step(HeartbeatReceived(OriginHeartbeat("o", number=99 + len(state)), True))[1],
+            )
 
     def test_a_ramp_is_guessed_only_for_those_who_do_not_say(self):
         name = self.owned()
@@ -411,9 +441,7 @@
 
     def states(self, token="incarnation-one", first=1):
         return [
-            origin.state
-            for origin in self.tables(first).origins.values()
-            if origin.token == token
+            origin.state for origin in self.tables(first).origins.values() if origin.token == token
         ]
 
     def test_a_incarnation_from_its_first_beat_to_its_end_through_two_registries(self):
@@ -526,7 +554,9 @@
         self,
     ):
         self.call("POST", "/v1/origins/leave", {"token": "incarnation-one"})
-        self.assertNotIn("incarnation-one", self.world.seats["r1"].node.registry.tables.ended_tokens)
+        self.assertNotIn(
+            "incarnation-one", self.world.seats["r1"].node.registry.tables.ended_tokens
+        )
         self.assertEqual(
             (200, "gone"), ((answer := self.beat(2, first=1)).code, answer.value["state"])
         )
--- a/tests/registry/test_sustained_operator_load.py
+++ b/tests/registry/test_sustained_operator_load.py
@@ -46,9 +46,7 @@
             tokens = [
                 self.world.ask(
                     f"r{number % 2}",
-                    ConfigurationProposal(
-                        version=number + 1, tree=self.configuration(number)
-                    ),
+                    ConfigurationProposal(version=number + 1, tree=self.configuration(number)),
                 )
                 for number in range(start, start + UNDER_WAY)
             ]
@@ -139,7 +137,9 @@
             state = "draining" if number % 2 else "ready"
             self.assertEqual(200, self.beat(number, "one", state=state))
         origins = self.world.seats["r1"].node.registry.tables.origins.values()
-        self.assertEqual(["draining"], [origin.state for origin in origins if origin.token == "one"])
+        self.assertEqual(
+            ["draining"], [origin.state for origin in origins if origin.token == "one"]
+        )
 
 
 if __name__ == "__main__":
--- a/tests/shell/test_disk.py
+++ b/tests/shell/test_disk.py
@@ -188,7 +188,9 @@
             def append(self, records):
                 raise OSError(28, "No space left on device")
 
-        logger = type("Logger", (), {"log": lambda self, *words, **more: said.append((words, more))})()
+        logger = type(
+            "Logger", (), {"log": lambda self, *words, **more: said.append((words, more))}
+        )()
         runner = Runner("127.0.0.1:0", logger, Full(), died.append)
         runner.mesh.send = lambda *args: sent.append(args)
         runner.start(Node())
--- a/tests/shell/test_settings_reload.py
+++ b/tests/shell/test_settings_reload.py
@@ -139,19 +139,25 @@
 
 class ServingOn(unittest.TestCase):
     def test_a_long_serve_on_lengthens_no_duty(self):
-        card = DaemonDescriptor("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
+        card = DaemonDescriptor(
+            "e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7
+        )
         node_state = NodeState(card, fresh_as_of=0)
-        self.assertEqual((True, True), (node_state.leased(LEASE), node_state.ruling(LEASE)))
         self.assertEqual(
-            (False, False), (node_state.leased(LEASE + 1), node_state.ruling(LEASE + 1))
+            (True, True), (node_state.may_serve(LEASE), node_state.holds_ownership_lease(LEASE))
+        )
+        self.assertEqual(
+            (False, False),
+            (node_state.may_serve(LEASE + 1), node_state.holds_ownership_lease(LEASE + 1)),
         )
-        node_state.serve_on = 60 * SECOND
+        node_state.max_stale_serving = 60 * SECOND
         self.assertEqual(
-            (True, False), (node_state.leased(60 * SECOND), node_state.ruling(LEASE + 1))
+            (True, False),
+            (node_state.may_serve(60 * SECOND), node_state.holds_ownership_lease(LEASE + 1)),
         )
-        self.assertFalse(node_state.leased(60 * SECOND + 1))
+        self.assertFalse(node_state.may_serve(60 * SECOND + 1))
         self.assertFalse(
-            NodeState(card, serve_on=60 * SECOND).leased(0),
+            NodeState(card, serve_on=60 * SECOND).may_serve(0),
             "a new life has no state updates at all",
         )
 
@@ -173,13 +179,13 @@
         # it would answer, but e1 does not know of it
         world.cuts -= {("e1", helper), (helper, "e1")}
         world.run(seconds(1))
-        self.assertEqual((0, ()), (node_state.tables.epoch, node_state.seed_cores))
+        self.assertEqual((0, ()), (node_state.tables.epoch, node_state.seed_store_addresses))
         world.give("e1", SettingsChanged((helper,)))
         world.run(seconds(1))
-        self.assertEqual(5, len(node_state.seed_cores))
+        self.assertEqual(5, len(node_state.seed_store_addresses))
         world.heal()
         self.assertTrue(
-            world.until(lambda: node_state.leased(world.now(world.seats["e1"])), seconds(3))
+            world.until(lambda: node_state.may_serve(world.now(world.seats["e1"])), seconds(3))
         )
 
     def test_seeds_swapped_on_a_running_and_a_restarting_fleet_stores_included(self):
@@ -195,7 +201,7 @@
                 world.run(seconds(0.2))
                 world.start(name)
             world.run(seconds(6))
-            self.assertEqual(5, sum(node_state.voter for _, node_state in world.node_states()))
+            self.assertEqual(5, sum(node_state.is_voter for _, node_state in world.node_states()))
             world.put_configuration(1)
             world.run(seconds(2))
             configuration += 1
--- a/tests/state/test_duplicate_commands.py
+++ b/tests/state/test_duplicate_commands.py
@@ -43,7 +43,9 @@
         states = {"d0": DaemonState.UP, "d1": DaemonState.DRAINING, "d2": DaemonState.LOST}
         daemons = {name: daemon_entry(name, state=state) for name, state in states.items()}
         tables = after_daemons(3 * MAX_ABSENT_DAEMONS, Tables(epoch=1, daemons=daemons))
-        self.assertEqual(["d0", "d1"], [name for name in daemons if name in tables.command_histories])
+        self.assertEqual(
+            ["d0", "d1"], [name for name in daemons if name in tables.command_histories]
+        )
 
     def test_what_ran_or_was_barred_never_runs_again(self):
         tables = after_daemons(3 * MAX_ABSENT_DAEMONS)
--- a/tests/state/test_numbered_configurations.py
+++ b/tests/state/test_numbered_configurations.py
@@ -29,9 +29,7 @@
             numbers = [chance.randrange(40) for _ in range(8)]
             for number in chance.sample(numbers * 2, 16):
                 result = log.put(
-                    ConfigurationProposal(
-                        version=number, tree=tree(number), source=f"s{number}"
-                    )
+                    ConfigurationProposal(version=number, tree=tree(number), source=f"s{number}")
                 )
                 above = highest is None or number > highest
                 highest = number if above else highest
--- a/tests/store/test_store_shutdown.py
+++ b/tests/store/test_store_shutdown.py
@@ -98,7 +98,9 @@
         for number in range(3):
             stores.start(number)
         for number in range(3):
-            self.assertTrue(until(lambda n=number: stores.said(n, "fleet bootstrapped"), UP_SECONDS))
+            self.assertTrue(
+                until(lambda n=number: stores.said(n, "fleet bootstrapped"), UP_SECONDS)
+            )
         code, seconds = stores.terminate(1)
         self.assertEqual((0, 0), (code, stores.said(1, "handing over")))
         self.assertEqual(1, stores.said(1, "settling"))
--- a/tests/system/test_exhaustive_faults.py
+++ b/tests/system/test_exhaustive_faults.py
@@ -102,7 +102,7 @@
         now, asked = world.now(seat), []
         other = next(
             identity
-            for identity, address in seat.node.node_state.members.items()
+            for identity, address in seat.node.node_state.voter_addresses.items()
             if address == "s1"
         )
         for _ in range(30):
@@ -113,7 +113,9 @@
                 message.nonce for _, message in plan.sends if isinstance(message, QuorumReadRequest)
             }:
                 seat.node.step(
-                    Received("s1", QuorumReadResponse(nonce, other, seat.node.node_state.tables.slot + 9)),
+                    Received(
+                        "s1", QuorumReadResponse(nonce, other, seat.node.node_state.tables.slot + 9)
+                    ),
                     now,
                 )
         self.assertTrue(asked)
@@ -172,7 +174,7 @@
 
         previous = tuple(member(name, zone=name) for name in "abcde")
         node_state = ReplicaState(Member("a", "a", "a", "a"))
-        node_state.take(
+        node_state.install_tables(
             Tables(
                 slot=10,
                 epoch=2,
@@ -180,7 +182,7 @@
                 previous_voters=PreviousVoters(9, previous),
             )
         )
-        node_state.queue.push(Command("x", 1, 1, 1, "[]"), 0)
+        node_state.pending_commands.push(Command("x", 1, 1, 1, "[]"), 0)
         voting = Voting(node_state)
         for synced_indexes, proposes in (
             ({}, False),
--- a/tests/system/test_fleet_guarantees.py
+++ b/tests/system/test_fleet_guarantees.py
@@ -205,7 +205,9 @@
     """
     world.rate = 900
     world.run(seconds(3))
-    owner = world.seats["r0"].node.registry.tables.ownerships["quota_share/apps"].owner.split("/")[0]
+    owner = (
+        world.seats["r0"].node.registry.tables.ownerships["quota_share/apps"].owner.split("/")[0]
+    )
     world.cut(
         [owner],
         [
@@ -346,7 +348,9 @@
             world.crash(name)
         with (
             patch.object(
-                SnapshotMaker, "make", lambda self, tables: make(self, replace(tables, zone_evacuations={}))
+                SnapshotMaker,
+                "make",
+                lambda self, tables: make(self, replace(tables, zone_evacuations={})),
             ),
             self.assertRaisesRegex(Broken, "emptied zone"),
         ):
--- a/tests/system/test_large_configurations.py
+++ b/tests/system/test_large_configurations.py
@@ -70,7 +70,7 @@
         self.assertTrue(
             world.until(
                 lambda: (
-                    all(node_state.voter for _, node_state in world.node_states())
+                    all(node_state.is_voter for _, node_state in world.node_states())
                     and world.seats["e0"].node.proxy.snapshot.version == world.version
                 ),
                 seconds(15),
--- a/tests/system/test_partitioned_control_machine.py
+++ b/tests/system/test_partitioned_control_machine.py
@@ -548,7 +548,9 @@
         self.step(WithdrawSubmission(1))
         self.assertTrue(self.ticks(RETRY_AFTER + 20 * MILLI))
         answers = json.dumps(encode_results((PurgeAccepted(1), PurgeAccepted(2))))
-        plan = self.client.step(Received("a:1", CommandAccepted(submitted.command.key, 7, answers)), 0)
+        plan = self.client.step(
+            Received("a:1", CommandAccepted(submitted.command.key, 7, answers)), 0
+        )
         self.assertEqual([(2, SubmissionOutcome(7, (PurgeAccepted(2),)))], plan.replies)
 
     def test_what_nobody_waits_for_lasts_unless_it_expires_and_keeps_nothing_else_alive(self):
--- a/tests/system/test_quota_share_shifts.py
+++ b/tests/system/test_quota_share_shifts.py
@@ -24,8 +24,8 @@
         def lose():
             owner = (
                 world.seats["r0"]
-                .node.registry.tables.ownerships["quota_share/art"].owner
-                .split("/")[0]
+                .node.registry.tables.ownerships["quota_share/art"]
+                .owner.split("/")[0]
             )
             world.crash(owner)
             world.at(8 * SECOND, world.start, owner)
--- a/tests/system/test_small_allowances.py
+++ b/tests/system/test_small_allowances.py
@@ -61,8 +61,8 @@
         for number in range(12):
             owner = (
                 world.seats["r0"]
-                .node.registry.tables.ownerships["quota_share/apps"].owner
-                .split("/")[0]
+                .node.registry.tables.ownerships["quota_share/apps"]
+                .owner.split("/")[0]
             )
             fault = number % 3
             faults.append(owner)
--- a/tests/system/test_stale_tables.py
+++ b/tests/system/test_stale_tables.py
@@ -109,8 +109,14 @@
         state, read = self._follower()
         for number in range(3):
             now = (number + 1) * 200 * MILLI + SECOND
-            asks = [sent for _, sent in read.step(Tick(), now).sends if isinstance(sent, QuorumReadRequest)]
-            read.step(Received(f"v{number}:1", QuorumReadResponse(asks[0].nonce, f"v{number}", 5)), now)
+            asks = [
+                sent
+                for _, sent in read.step(Tick(), now).sends
+                if isinstance(sent, QuorumReadRequest)
+            ]
+            read.step(
+                Received(f"v{number}:1", QuorumReadResponse(asks[0].nonce, f"v{number}", 5)), now
+            )
         self.assertIsNone(state.fresh_as_of)
 
     def _follower(self):
