--- a/src/willowpost/registry/calls/control_api.py
+++ b/src/willowpost/registry/calls/control_api.py
@@ -66,7 +66,7 @@
         """Return the own clock's time in µs."""
         return self.runner.clock.now()
 
-    def in_touch(self) -> bool:
+    def is_in_touch(self) -> bool:
         """Whether a quorum confirmed the tables lately (`NodeState.is_in_touch`)."""
         return self.node_state.is_in_touch(self.now())
 
--- a/src/willowpost/sim/fleet/settling.py
+++ b/src/willowpost/sim/fleet/settling.py
@@ -15,22 +15,22 @@
     def restart(self, address):
         """A planned restart by the platform: the process is asked to leave, then restarted."""
         node = self.seats[address].node
-        leaver = getattr(getattr(node, "node", node), "leaver", None)
-        if leaver is None:  # it is down
+        shutdown = getattr(getattr(node, "node", node), "shutdown", None)
+        if shutdown is None:  # it is down
             self.crash(address)
             self.at(SECOND, self.bring_back, address)
             return
         self.give(address, ShutdownRequested())
-        self.at(LOOK_EVERY, self._left, address, leaver, self.seats[address].incarnation)
+        self.at(LOOK_EVERY, self._left, address, shutdown, self.seats[address].incarnation)
 
-    def _left(self, address, leaver, incarnation):
+    def _left(self, address, shutdown, incarnation):
         if self.seats[address].incarnation != incarnation:
             return  # it was killed meanwhile
-        if leaver.gone:
+        if shutdown.gone:
             self.crash(address)
             self.at(SECOND, self.bring_back, address)
         else:
-            self.at(LOOK_EVERY, self._left, address, leaver, incarnation)
+            self.at(LOOK_EVERY, self._left, address, shutdown, incarnation)
 
     def bring_back(self, address):
         """Starts a machine's process, unless it runs or is gone for good."""
--- a/tests/consensus/test_voter_replacement.py
+++ b/tests/consensus/test_voter_replacement.py
@@ -46,9 +46,9 @@
 
     def test_the_epoch_opens_only_when_the_new_voters_hold_everything(self):
         world = self.world
-        self.assertLess(world.state("s0").passed, 2)
+        self.assertLess(world.state("s0").passed_epoch, 2)
         world.blocked.remove(self.deaf)
-        self.assertTrue(world.until(lambda: world.state("s0").passed == 2, seconds(3)))
+        self.assertTrue(world.until(lambda: world.state("s0").passed_epoch == 2, seconds(3)))
         world.take_away("s0", "s2")
         world.settle(4)
         self.assertEqual([True, True], [world.holds(name, "z") for name in ("s1", "s3")])
@@ -58,7 +58,7 @@
     def test_as_it_was_the_epoch_opens_and_the_next_loss_takes_what_was_accepted(self):
         world = self.world
         with patch.object(barrier, "holds_both_quorums", only_former):
-            self.assertTrue(world.until(lambda: world.state("s0").passed == 2, seconds(1)))
+            self.assertTrue(world.until(lambda: world.state("s0").passed_epoch == 2, seconds(1)))
             world.take_away("s0", "s2")
             world.heal()
             world.blocked.remove(self.deaf)
--- a/tests/shell/test_settings_reload.py
+++ b/tests/shell/test_settings_reload.py
@@ -157,7 +157,7 @@
         )
         self.assertFalse(node_state.may_serve(60 * SECOND + 1))
         self.assertFalse(
-            NodeState(card, serve_on=60 * SECOND).may_serve(0),
+            NodeState(card, max_stale_serving=60 * SECOND).may_serve(0),
             "a new life has no state updates at all",
         )
 
--- a/tests/system/test_stale_tables.py
+++ b/tests/system/test_stale_tables.py
@@ -42,7 +42,7 @@
     def serve_on(self):
         for name in (*self.edges, *self.shields):
             if self.seats[name].node is not None:
-                self.seats[name].node.proxy.serve_on = SERVE_ON
+                self.seats[name].node.proxy.max_stale_serving = SERVE_ON
 
     def served_by(self, edge, since):
         return sum(at > since and server == edge for at, server in self.traffic.served)
