--- a/src/willowpost/drill/capacity/simulated_peers.py
+++ b/src/willowpost/drill/capacity/simulated_peers.py
@@ -111,7 +111,7 @@
         home = self.homes.get(peer.zone)
         if peer.kind == "proxy" and home.id != peer.id:
             return home.address
-        return NodeState(peer, self.world.tables).cores()[0]
+        return NodeState(peer, self.world.tables).store_addresses()[0]
 
     def _poll(self, peer, source):
         self._say(peer.address, source, Poll(self._next(), self.slots[peer.address]))
--- a/src/willowpost/sim/fleet/route_changes.py
+++ b/src/willowpost/sim/fleet/route_changes.py
@@ -148,7 +148,7 @@
             return
         edge, path = self.chance.choice(edges), self.chance.choice(sorted(paths))
         node = self.world.seats[edge].node
-        node.proxy.serve_on = SERVE_ON
+        node.proxy.max_stale_serving = SERVE_ON
         plan = node.planner.plan(Request("GET", HOST, f"{path}1", {}))
         self.asked += 1
         if isinstance(plan, RejectPlan) and 300 <= plan.code < 500 and plan.code not in NO_DENIALS:
--- a/src/willowpost/sim/scripted_core.py
+++ b/src/willowpost/sim/scripted_core.py
@@ -52,7 +52,7 @@
 
     def identity(self, name):
         """The identity that a store has on its disk."""
-        return self.state(name).me.identity
+        return self.state(name).member.identity
 
     def accept(self, zone, caller="r0", span=3.0):
         """Submits an order; whether it was accepted in that span (s)."""
@@ -146,7 +146,7 @@
 
     def votes(self, name):
         """Whether this store votes, as it knows itself."""
-        return self.state(name).voter
+        return self.state(name).is_voter
 
     def settled(self, name):
         """Whether the log shows, to this store, that the last change of the voters is finished."""
--- a/src/willowpost/state/codec.py
+++ b/src/willowpost/state/codec.py
@@ -473,7 +473,11 @@
         KeyError: it is no operation.
     """
     name = OPERATION_NAMES[type(operation)]
-    return {"op": name, **OPERATIONS[name].encode(operation)}
+    stored = {"op": name, **OPERATIONS[name].encode(operation)}
+    if isinstance(operation, ConfigurationProposal) and operation.tree_delta is not None:
+        # a difference says explicitly that it stands in place of a tree and its source
+        stored |= {"tree": None, "source": None}
+    return stored
 
 
 def decode_operation(stored: JsonObject) -> Operation:
