--- a/tests/drill/test_capacity.py
+++ b/tests/drill/test_capacity.py
@@ -60,7 +60,7 @@
         asked = int(SMALL.purges * (WARM + SPAN))
         self.assertGreater(min(slots["store"]) - began, asked - 5)
         followers = [
-            seat for seat in fleet.seats.values() if hasattr(seat.node.node_state, "leased")
+            seat for seat in fleet.seats.values() if hasattr(seat.node.node_state, "may_serve")
         ]
         for seat in followers:
             self.assertTrue(seat.node.node_state.may_serve(fleet.now(seat)), seat.address)
