--- a/src/willowpost/common/events.py
+++ b/src/willowpost/common/events.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class SettingsChanged:
     """The process's settings changed while it runs: its seeds and, for a store, its pace."""
 
     seeds: tuple[str, ...]
@@ -28,23 +28,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SubmitOperations:
     """A caller in this process wants operations in the log.
 
     Attributes:
         token: under which the caller waits for the outcome; None: nobody waits.
-        ops: the operations, in the order in which they are to be applied.
+        operations: of `state/operations.py`, in the order in which they are to be applied.
         lifetime: µs after which they are not submitted again. None: they are submitted while the
             caller waits or, if nobody waits, until the log has answered.
     """
 
     token: Any
-    ops: tuple[dict[str, Any], ...]
+    operations: tuple[Any, ...]
     lifetime: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class WithdrawSubmission:
     """The caller that waited under `token` gave up; its operations are not submitted again."""
 
     token: Any
--- a/src/willowpost/consensus/replica/acceptance.py
+++ b/src/willowpost/consensus/replica/acceptance.py
@@ -6,8 +6,9 @@
 from willowpost.common.events import Received
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.state.apply import answer_of
-from willowpost.wire.messages import Accepted, Command, Submit
+from willowpost.state.apply import recorded_results
+from willowpost.state.codec import encode_results
+from willowpost.wire.messages import Command, CommandAccepted, SubmitCommand
 
 WAITING_MOST = 4096
 
@@ -36,7 +37,7 @@
 
 
 class Acceptance:
-    """Sends `Accepted` once n - f voters hold every slot up to the command's on disk.
+    """Sends `CommandAccepted` once n - f voters hold every slot up to the command's on disk.
 
     See `ReplicaState.safe`. At most WAITING_MOST submissions wait at once; further ones get no
     answer.
@@ -47,23 +48,25 @@
         self.waiting: dict[str, Waiting] = {}  # by the command's key
 
     def step(self, event, now: int) -> Plan:
-        """Record a `Submit`, then answer every command whose slot is safe."""
+        """Record a `SubmitCommand`, then answer every command whose slot is safe."""
         plan = Plan()
         match event:
-            case Received(source, Submit(command)) if len(self.waiting) < WAITING_MOST:
+            case Received(source, SubmitCommand(command)) if len(self.waiting) < WAITING_MOST:
                 self.waiting[command.key] = Waiting(command, source)
         if self.waiting:
             self._answer(plan)
         return plan
 
     def _answer(self, plan):
-        safe = self.node_state.safe()
+        safe = self.node_state.safe_slot()
         for key, waiting in tuple(self.waiting.items()):
             outcome = self._outcome(waiting.command)
             if outcome is None or outcome.slot >= safe:
                 continue
             del self.waiting[key]
-            plan.send(waiting.source, Accepted(key, outcome.slot, json.dumps(outcome.answers)))
+            plan.send(
+                waiting.source, CommandAccepted(key, outcome.slot, json.dumps(outcome.answers))
+            )
 
     def _outcome(self, command) -> Outcome | None:
         """Return what the log says of the command; None while it is not decided."""
@@ -71,10 +74,12 @@
         if not node_state.is_decided(command):
             return None
         newest_slot = node_state.tables.slot - 1
-        held = node_state.tables.seen.get(command.daemon)
-        if held is None:
-            return Outcome(newest_slot, {"forgotten": node_state.tables.seen_floor})
-        if held["incarnation"] > command.incarnation:
-            return Outcome(newest_slot, {"barred": held["incarnation"]})
-        answer = answer_of(node_state.tables, command)
-        return Outcome(*answer) if answer else Outcome(newest_slot, None)
+        history = node_state.tables.command_histories.get(command.daemon)
+        if history is None:
+            return Outcome(newest_slot, {"forgotten": node_state.tables.forgotten_incarnation})
+        if history.incarnation > command.incarnation:
+            return Outcome(newest_slot, {"barred": history.incarnation})
+        recorded = recorded_results(node_state.tables, command)
+        if recorded is None:
+            return Outcome(newest_slot, None)
+        return Outcome(recorded.slot, encode_results(recorded.results))
--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -1,21 +1,22 @@
 """Bootstraps an empty fleet once; an empty store in a bootstrapped fleet becomes a learner."""
 
 import json
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 
 from willowpost.common.clock import SECOND
-from willowpost.common.events import Changed, Received, Tick
+from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.common.plan import Plan
-from willowpost.consensus.replica.records import bootstrap_promise_record, found_record
+from willowpost.consensus.replica.records import bootstrap_promise_record, founding_record
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.wire.messages import Ask, Hello, Member, members_of
+from willowpost.state.codec import MEMBER
+from willowpost.wire.messages import CatchupRequest, Hello, Member
 
 # µs; a bootstrapped store without a successful quorum read for so long asks its seeds who votes
 WITHOUT_SOURCE_AFTER = 3 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
-class Rights:
+class VoterPolicy:
     """What a store may do to the set of voters.
 
     Attributes:
@@ -39,13 +40,17 @@
     """
 
     def __init__(
-        self, node_state: ReplicaState, seeds: tuple[str, ...], size: int, rights: Rights = Rights()
+        self,
+        node_state: ReplicaState,
+        seeds: tuple[str, ...],
+        size: int,
+        rights: VoterPolicy = VoterPolicy(),
     ):
         self.node_state = node_state
         self.rights = rights
         self.seeds = seeds
         self.size = size
-        self.claims: dict[str, Member] = {node_state.me.identity: node_state.me}
+        self.claims: dict[str, Member] = {node_state.member.identity: node_state.member}
         self.bootstrap_promises: dict[str, tuple] = {}
         # addresses to greet; only first-hand claims may found
         self.heard_of: set[str] = set()
@@ -62,12 +67,12 @@
         """
         plan = Plan()
         match event:
-            case Changed(seeds=seeds, pace=pace):
-                self.seeds, self.node_state.pace = tuple(seeds), pace or self.node_state.pace
+            case SettingsChanged(seeds=seeds, pace=pace):
+                self.seeds, self.node_state.tuning = tuple(seeds), pace or self.node_state.tuning
             case Received(source, Hello() as hello):
                 self._hear(source, hello, plan)
             case Tick() if (
-                self.node_state.bootstrapped
+                self.node_state.is_bootstrapped
                 and self._without_source(now)
                 and now - self.sent_at >= WITHOUT_SOURCE_AFTER
             ):
@@ -75,22 +80,22 @@
                 plan.sends += [
                     (seed, self._hello(False))
                     for seed in self.seeds
-                    if seed != self.node_state.me.address
+                    if seed != self.node_state.member.address
                 ]
-            case Tick() if not self.node_state.bootstrapped and (
-                self.sent_at < 0 or now - self.sent_at >= self.node_state.pace.hello
+            case Tick() if not self.node_state.is_bootstrapped and (
+                self.sent_at < 0 or now - self.sent_at >= self.node_state.tuning.hello
             ):
                 self.sent_at = now
                 self._say(now, plan)
-        if not self.node_state.bootstrapped:
+        if not self.node_state.is_bootstrapped:
             self._found(plan)
         return plan
 
     def _may_bootstrap(self) -> bool:
         """Whether this store may bootstrap; a promise once made stays valid."""
-        return (self.rights.may_bootstrap and self._seat_of(self.node_state.me.address)) or bool(
-            self.node_state.bootstrap_promise
-        )
+        return (
+            self.rights.may_bootstrap and self._seat_of(self.node_state.member.address)
+        ) or bool(self.node_state.bootstrap_promise)
 
     def _seat_of(self, address) -> bool:
         """Whether the store at `address` may be a bootstrap member.
@@ -104,15 +109,15 @@
 
     def _hello(self, answer):
         node_state = self.node_state
-        if not node_state.bootstrapped and not self._may_bootstrap():
+        if not node_state.is_bootstrapped and not self._may_bootstrap():
             return Hello(answer=answer)
-        known = members_of(node_state.tables.core) or tuple(self.claims.values())
+        known = node_state.tables.voters or tuple(self.claims.values())
         return Hello(
-            node_state.me.identity,
-            node_state.me.name,
-            node_state.me.zone,
-            node_state.me.address,
-            node_state.bootstrapped,
+            node_state.member.identity,
+            node_state.member.name,
+            node_state.member.zone,
+            node_state.member.address,
+            node_state.is_bootstrapped,
             answer,
             known,
             node_state.bootstrap_promise,
@@ -127,29 +132,33 @@
         }
         plan.sends += [
             (address, self._hello(False))
-            for address in sorted(addresses - {self.node_state.me.address})
+            for address in sorted(addresses - {self.node_state.member.address})
         ]
         # each time another voter: the first may be the very one that was lost
         tellers = sorted(self.bootstrapped_addresses)
         self.round += 1
-        if tellers and not self.node_state.incoming_snapshot.progressing(now):
+        if tellers and not self.node_state.incoming_snapshot.is_progressing(now):
             request = self.node_state.incoming_snapshot.request()
-            plan.send(tellers[self.round % len(tellers)], Ask(0, blank=True, snapshot=request))
+            plan.send(
+                tellers[self.round % len(tellers)], CatchupRequest(0, blank=True, snapshot=request)
+            )
 
     def _hear(self, source, hello, plan):
         node_state = self.node_state
         if not hello.answer:
             plan.send(source, self._hello(True))
-        if hello.bootstrapped and node_state.bootstrapped:
+        if hello.bootstrapped and node_state.is_bootstrapped:
             # The voters known here are gone, or it would not have asked; the sender's are newer.
             strangers = {member.address for member in hello.known} - {
-                node_state.me.address,
-                *node_state.members.values(),
+                node_state.member.address,
+                *node_state.voter_addresses.values(),
             }
-            plan.sends += [(address, Ask(node_state.tables.slot)) for address in sorted(strangers)]
+            plan.sends += [
+                (address, CatchupRequest(node_state.tables.slot)) for address in sorted(strangers)
+            ]
         elif hello.bootstrapped:
             self.bootstrapped_addresses = {member.address for member in hello.known} - {
-                node_state.me.address
+                node_state.member.address
             }
         elif hello.identity and self._seat_of(hello.address):
             self._claim(Member(hello.identity, hello.name, hello.zone, hello.address))
@@ -166,7 +175,7 @@
         self.claims = {
             identity: claim
             for identity, claim in self.claims.items()
-            if claim.address != member.address or identity == self.node_state.me.identity
+            if claim.address != member.address or identity == self.node_state.member.identity
         }
         self.claims[member.identity] = member
 
@@ -174,16 +183,18 @@
         node_state = self.node_state
         if not node_state.bootstrap_promise and self._may_promise():
             self._promise(plan)
-        self.bootstrap_promises[node_state.me.identity] = node_state.bootstrap_promise
-        core = [json.loads(card) for card in node_state.bootstrap_promise]
+        self.bootstrap_promises[node_state.member.identity] = node_state.bootstrap_promise
+        members = tuple(
+            MEMBER.decode(json.loads(member)) for member in node_state.bootstrap_promise
+        )
         promised = (
-            self.bootstrap_promises.get(member["identity"]) == node_state.bootstrap_promise
-            for member in core
+            self.bootstrap_promises.get(member.identity) == node_state.bootstrap_promise
+            for member in members
         )
-        if core and all(promised):
-            plan.records.append(found_record(core))
-            node_state.found({"core": core})
-            plan.note("bootstrap", "fleet founded", voters=[member["name"] for member in core])
+        if members and all(promised):
+            plan.records.append(founding_record(members))
+            node_state.enter_first_epoch(members)
+            plan.log("bootstrap", "fleet bootstrapped", voters=[member.name for member in members])
 
     def _may_promise(self) -> bool:
         """Whether this store may bootstrap, enough stores have claimed, and no fleet runs yet."""
@@ -198,8 +209,8 @@
         node_state = self.node_state
         ranked = sorted(self.claims.values(), key=lambda claim: (claim.name, claim.identity))
         chosen = ranked[: self.size]
-        if node_state.me not in chosen:
+        if node_state.member not in chosen:
             return
-        cards = sorted(json.dumps(asdict(claim), sort_keys=True) for claim in chosen)
+        cards = sorted(json.dumps(MEMBER.encode(claim), sort_keys=True) for claim in chosen)
         node_state.bootstrap_promise = tuple(cards)
         plan.records.append(bootstrap_promise_record(cards))
--- a/src/willowpost/consensus/replica/missed_change.py
+++ b/src/willowpost/consensus/replica/missed_change.py
@@ -3,15 +3,15 @@
 from willowpost.common.events import Received
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
-from willowpost.wire.messages import Ask, BallotState, SyncedIndex
+from willowpost.wire.messages import BallotState, CatchupRequest, SyncedIndex
 
 
 class MissedChange:
     """Asks an unknown voter that is ahead for the decisions in between, once per `pace.ask`.
 
     Without it, a voter whose former peers are all gone would never learn who votes now, although
-    the new voters keep sending it their synced index. What a `Tell` brings was decided, so it is
-    taken from any sender.
+    the new voters keep sending it their synced index. What a `CatchupResponse` brings was decided,
+    so it is taken from any sender.
     """
 
     def __init__(self, node_state: ReplicaState):
@@ -25,15 +25,15 @@
             case Received(source, BallotState(identity=identity, slot=slot)) | Received(
                 source, SyncedIndex(identity=identity, slot=slot)
             ) if self._is_ahead_and_unknown(identity, slot):
-                if now - self.asked_at >= self.node_state.pace.ask:
+                if now - self.asked_at >= self.node_state.tuning.ask:
                     self.asked_at = now
-                    plan.send(source, Ask(self.node_state.tables.slot))
+                    plan.send(source, CatchupRequest(self.node_state.tables.slot))
         return plan
 
     def _is_ahead_and_unknown(self, identity: str, slot: int) -> bool:
         node_state = self.node_state
         return (
-            node_state.bootstrapped
+            node_state.is_bootstrapped
             and slot > node_state.tables.slot
-            and identity not in node_state.members
+            and identity not in node_state.voter_addresses
         )
--- a/src/willowpost/node/follower.py
+++ b/src/willowpost/node/follower.py
@@ -4,16 +4,16 @@
 """
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Changed, Received, Tick
-from willowpost.common.formats import UnknownFormat
+from willowpost.common.events import Received, SettingsChanged, Tick
+from willowpost.common.formats import UnknownFormatError
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.consensus.log_size import leading, trailing
 from willowpost.node.node_state import LEASE, TAIL_BYTES_KEPT, TAIL_KEPT, NodeState
-from willowpost.state.apply import Apply
+from willowpost.state.apply import StateMachine
 from willowpost.state.tables import tables_from
-from willowpost.wire.messages import Hello, Ping, Poll, StateUpdate, members_of
+from willowpost.wire.messages import Hello, Ping, Poll, StateUpdate
 
 POLL_EVERY = 150 * MILLI
 SILENT_AFTER = 450 * MILLI
@@ -41,9 +41,9 @@
         self.node_state = node_state
         self.seeds = tuple(seeds)
         self.tree = tree
-        self.apply = Apply()
-        card = node_state.card
-        self.nonces = NonceSequence(card.id, card.incarnation, "poll")
+        self.state_machine = StateMachine()
+        descriptor = node_state.descriptor
+        self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "poll")
         self.polls: dict[int, int] = {}
         self.polled_at = -POLL_EVERY
         self.heard_at = 0
@@ -65,9 +65,11 @@
             case Received(source, Poll() as poll):
                 self._tell(source, poll, now, plan)
             case Received(source, Hello(answer=True, bootstrapped=True) as hello):
-                if not self.node_state.tables.core or self._without_source(now):
-                    self.node_state.seed_cores = tuple(member.address for member in hello.known)
-            case Received(source, Ping()) if not self.node_state.tables.core:
+                if not self.node_state.tables.voters or self._without_source(now):
+                    self.node_state.seed_store_addresses = tuple(
+                        member.address for member in hello.known
+                    )
+            case Received(source, Ping()) if not self.node_state.tables.voters:
                 # A watcher of this daemon has tables, even if the seeds are gone.
                 plan.send(source, Hello(answer=False))
             case Received(source, Hello(answer=False)):
@@ -76,10 +78,10 @@
                     Hello(
                         bootstrapped=self.node_state.tables.epoch > 0,
                         answer=True,
-                        known=members_of(self.node_state.tables.core),
+                        known=self.node_state.tables.voters,
                     ),
                 )
-            case Changed(seeds=seeds):
+            case SettingsChanged(seeds=seeds):
                 self.seeds = tuple(seeds)
             case Tick():
                 self._tick(now, plan)
@@ -88,24 +90,26 @@
     def sources(self) -> list[str]:
         """Return the addresses of all possible sources, the preferred one first."""
         node_state = self.node_state
-        cores = node_state.cores()
+        cores = node_state.store_addresses()
         if not self.tree:
             return cores
         zone = {
-            name: card
-            for name, card in node_state.live("proxy").items()
-            if card["zone"] == node_state.card.zone
+            name: proxy
+            for name, proxy in node_state.live_daemons("proxy").items()
+            if proxy.zone == node_state.descriptor.zone
         }
-        ranked = Rendezvous().rank(f"state_update/{node_state.card.zone}", zone)
+        ranked = Rendezvous().rank(f"state_update/{node_state.descriptor.zone}", zone)
         before = (
-            ranked[: ranked.index(node_state.card.id)] if node_state.card.id in ranked else ranked
+            ranked[: ranked.index(node_state.descriptor.id)]
+            if node_state.descriptor.id in ranked
+            else ranked
         )
-        return [zone[name]["address"] for name in before[:HOMES_TRIED]] + cores
+        return [zone[name].address for name in before[:HOMES_TRIED]] + cores
 
     def _tick(self, now, plan):
         node_state = self.node_state
         if (
-            not node_state.tables.core or self._without_source(now)
+            not node_state.tables.voters or self._without_source(now)
         ) and now - self.hello_at >= HELLO_EVERY:
             self.hello_at = now
             plan.sends += [(seed, Hello(answer=False)) for seed in self.seeds]
@@ -125,7 +129,7 @@
 
     def poll(self, address, now, plan):
         """Poll one address, unless a snapshot transfer is making progress."""
-        if not self.node_state.incoming_snapshot.progressing(now):
+        if not self.node_state.incoming_snapshot.is_progressing(now):
             self._poll_now(address, now, plan)
 
     def _poll_now(self, address, now, plan):
@@ -154,13 +158,13 @@
             return
         self.heard_at = now
         if state_update.fresh and state_update.age <= LEASE:
-            node_state.quorum_heard_at = now
+            node_state.quorum_contact_at = now
         went_on = self._take_snapshot(state_update, now, plan)
         self._take_decisions(state_update.decisions)
         reached = node_state.tables.epoch and node_state.tables.slot >= state_update.slot
         if state_update.fresh and reached:
-            node_state.whole_as_of(sent - state_update.age)
-            node_state.seed_cores = ()
+            node_state.confirm_as_of(sent - state_update.age)
+            node_state.seed_store_addresses = ()
         elif went_on:
             self._poll_now(source, now, plan)  # the next piece, or what was decided since
         elif state_update.decisions and node_state.tables.slot == state_update.slot:
@@ -171,18 +175,18 @@
         node_state, text = self.node_state, state_update.snapshot
         piece = state_update.piece
         if piece is not None and self._newer(piece.slot):
-            text = node_state.incoming_snapshot.take(piece, now)
+            text = node_state.incoming_snapshot.add(piece, now)
         if not text:
             incoming = node_state.incoming_snapshot
-            return piece is not None and bool(incoming.pieces) and incoming.progress_at == now
+            return piece is not None and bool(incoming.chunks) and incoming.progress_at == now
         try:
             tables = tables_from(text)
-        except UnknownFormat as problem:
-            plan.note("follower", "snapshot of an unknown format refused", problem=str(problem))
+        except UnknownFormatError as problem:
+            plan.log("follower", "snapshot of an unknown format refused", problem=str(problem))
             return False
         if not self._newer(tables.slot):
             return False
-        node_state.tables, node_state.tail = tables, ()
+        node_state.tables, node_state.recent_decisions = tables, ()
         return True
 
     def _take_decisions(self, decisions):
@@ -190,12 +194,12 @@
         tables, taken = node_state.tables, []
         for decision in decisions:
             if decision.slot == tables.slot and tables.epoch:
-                tables = self.apply.step(tables, decision)
+                tables = self.state_machine.apply(tables, decision)
                 taken.append(decision)
         if taken:
-            tail = node_state.tail + tuple(taken)
+            tail = node_state.recent_decisions + tuple(taken)
             node_state.tables = tables
-            node_state.tail = trailing(tail, TAIL_KEPT, TAIL_BYTES_KEPT)
+            node_state.recent_decisions = trailing(tail, TAIL_KEPT, TAIL_BYTES_KEPT)
 
     def _newer(self, slot: int) -> bool:
         """Whether a snapshot of this slot is newer than the tables held here."""
@@ -206,15 +210,15 @@
         if not node_state.tables.epoch:
             return
         age = node_state.age(now)
-        first = node_state.tables.slot - len(node_state.tail)
+        first = node_state.tables.slot - len(node_state.recent_decisions)
         piece, told = None, ()
         if poll.blank or poll.slot < first:
             asker_slot = -1 if poll.blank else poll.slot
-            piece = node_state.outgoing_snapshot.piece(
+            piece = node_state.outgoing_snapshot.chunk(
                 node_state.tables, asker_slot, first, poll.snapshot, now
             )
         elif poll.slot < node_state.tables.slot:
-            told = leading(node_state.tail[poll.slot - first :], DECISIONS_BYTES_MOST)
+            told = leading(node_state.recent_decisions[poll.slot - first :], DECISIONS_BYTES_MOST)
         last = poll.slot + len(told) if told else node_state.tables.slot
         whole = age is not None and last >= node_state.tables.slot >= poll.slot
         plan.send(source, StateUpdate(poll.nonce, last, age or 0, whole, tuple(told), piece=piece))
--- a/src/willowpost/node/leaver.py
+++ b/src/willowpost/node/graceful_shutdown.py
@@ -4,8 +4,9 @@
 from enum import Enum
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Asked, Tick
+from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
+from willowpost.state.operations import DrainDaemon, RemoveDaemon
 
 
 class Stage(Enum):
@@ -34,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spans:
+class ShutdownTimeouts:
     """Time limits of a planned end, in µs.
 
     Attributes:
@@ -48,11 +49,11 @@
     leave: int
 
 
-class Leave:
+class ShutdownRequested:
     """An event: the platform wants this process to end."""
 
 
-class Leaver:
+class GracefulShutdown:
     """Moves a daemon through the stages of its end.
 
     Nothing new is refused before `spans.drain` is over. Nothing under way is given up before
@@ -60,11 +61,11 @@
     together.
     """
 
-    def __init__(self, node_state, command_client, joiner, spans: Spans | None = None):
-        self.spans = spans or Spans(DRAIN_SPAN, FINISH_SPAN, LEAVE_SPAN)
-        self.node_state, self.card, self.command_client, self.joiner = (
+    def __init__(self, node_state, command_client, joiner, spans: ShutdownTimeouts | None = None):
+        self.spans = spans or ShutdownTimeouts(DRAIN_SPAN, FINISH_SPAN, LEAVE_SPAN)
+        self.node_state, self.descriptor, self.command_client, self.fleet_join = (
             node_state,
-            node_state.card,
+            node_state.descriptor,
             command_client,
             joiner,
         )
@@ -80,12 +81,12 @@
         return self.stage is Stage.GONE
 
     def step(self, event, now: int) -> Plan:
-        """Begin on `Leave`; on each tick, move on if the next stage is due."""
+        """Begin on `ShutdownRequested`; on each tick, move on if the next stage is due."""
         plan = Plan()
-        if isinstance(event, Leave) and self.stage is Stage.SERVING:
-            self.node_state.draining = True
+        if isinstance(event, ShutdownRequested) and self.stage is Stage.SERVING:
+            self.node_state.is_draining = True
             self._move(Stage.DRAINING, now, plan)
-            self._ask("drain", now, plan)
+            self._submit(DrainDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
         elif isinstance(event, Tick):
             self._tick(now - self.since, now, plan)
         return plan
@@ -97,27 +98,22 @@
         elif self.stage is Stage.FINISHING and (
             now >= self.finish_by or (span >= LAST_BYTES and not self.in_flight())
         ):
-            self.joiner.leaving = True
+            self.fleet_join.leaving = True
             self._move(Stage.LEAVING, now, plan)
-            self._ask("leave", now, plan)
+            self._submit(RemoveDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
         elif (
             self.stage is Stage.LEAVING
-            and (span >= self.spans.leave or self.card.id not in self.node_state.tables.daemons)
+            and (
+                span >= self.spans.leave or self.descriptor.id not in self.node_state.tables.daemons
+            )
             and (now >= self.finish_by or not self.in_flight())
         ):  # a kept connection may have brought one more
             self._move(Stage.GONE, now, plan)
 
-    def _ask(self, op, now, plan):
-        plan.join(
-            self.command_client.step(
-                Asked(
-                    None, ({"op": op, "id": self.card.id, "incarnation": self.card.incarnation},)
-                ),
-                now,
-            )
-        )
+    def _submit(self, operation, now, plan):
+        plan.join(self.command_client.step(SubmitOperations(None, (operation,)), now))
 
     def _move(self, stage, now, plan):
         assert stage in NEXT[self.stage]
         self.stage, self.since = stage, now
-        plan.note("drain", stage.value, in_flight=self.in_flight())
+        plan.log("drain", stage.value, in_flight=self.in_flight())
--- a/src/willowpost/node/node_state.py
+++ b/src/willowpost/node/node_state.py
@@ -4,6 +4,8 @@
 
 from willowpost.common.clock import MILLI
 from willowpost.common.rendezvous import weight
+from willowpost.state.entries import DaemonDescriptor, DaemonEntry
+from willowpost.state.lifecycle import DaemonState
 from willowpost.state.snapshot_transfer import SnapshotReceiver, SnapshotSource
 from willowpost.state.tables import Tables
 
@@ -20,25 +22,6 @@
 TAIL_BYTES_KEPT = 2 * 1024 * 1024
 
 
-@dataclass(frozen=True, slots=True)
-class Card:
-    """A daemon's description; `id` and `incarnation` together name one run of one process."""
-
-    id: str
-    kind: str  # store | registry | proxy
-    role: str  # edge | shield | core
-    name: str  # the machine
-    zone: str
-    address: str  # where its peers reach it
-    http: str
-    incarnation: int
-
-    @property
-    def incarnation_id(self) -> str:
-        """The name of this run of the process: id@incarnation."""
-        return f"{self.id}@{self.incarnation}"
-
-
 @dataclass(slots=True)
 class NodeState:
     """The shared state of one follower. Times are µs of the own clock.
@@ -51,15 +34,15 @@
       them and TAIL_BYTES_KEPT bytes.
     """
 
-    card: Card
+    descriptor: DaemonDescriptor
     tables: Tables = field(default_factory=Tables)
     fresh_as_of: int | None = None
-    tail: tuple = ()
-    seed_cores: tuple = ()  # stores heard of from seeds, until there are fresh tables
-    draining: bool = False  # this process is about to end, as planned
-    serve_on: int | None = None  # µs; None: the lease
+    recent_decisions: tuple = ()
+    seed_store_addresses: tuple = ()  # stores heard of from seeds, until there are fresh tables
+    is_draining: bool = False  # this process is about to end, as planned
+    max_stale_serving: int | None = None  # µs; None: the lease
     # when the last word came that shows a quorum of the voters up and within reach
-    quorum_heard_at: int | None = None
+    quorum_contact_at: int | None = None
     incoming_snapshot: SnapshotReceiver = field(default_factory=SnapshotReceiver)
     outgoing_snapshot: SnapshotSource = field(default_factory=SnapshotSource)
 
@@ -67,11 +50,11 @@
         """Return the µs since `fresh_as_of`; None before the first fresh state update."""
         return None if self.fresh_as_of is None else now - self.fresh_as_of
 
-    def whole_as_of(self, moment: int) -> None:
+    def confirm_as_of(self, moment: int) -> None:
         """Record that everything accepted before `moment` (µs, own clock) is in `tables`."""
         self.fresh_as_of = moment if self.fresh_as_of is None else max(self.fresh_as_of, moment)
 
-    def leased(self, now: int) -> bool:
+    def may_serve(self, now: int) -> bool:
         """Whether requests may be served by the tables held here.
 
         They may for LEASE after `fresh_as_of`, and up to `serve_on` after it while this daemon is
@@ -83,48 +66,48 @@
         if self.fresh_as_of is None:
             return False
         age = now - self.fresh_as_of
-        if age <= LEASE or self.serve_on is None:
+        if age <= LEASE or self.max_stale_serving is None:
             return age <= LEASE
-        return age <= self.serve_on and not self.hears_quorum(now)
+        return age <= self.max_stale_serving and not self.has_quorum_contact(now)
 
-    def hears_quorum(self, now: int) -> bool:
+    def has_quorum_contact(self, now: int) -> bool:
         """Whether a quorum of the voters was heard of within QUORUM_HEARD_SPAN."""
-        heard_at = self.quorum_heard_at
+        heard_at = self.quorum_contact_at
         return heard_at is not None and now - heard_at <= QUORUM_HEARD_SPAN
 
-    def ruling(self, now: int) -> bool:
+    def holds_ownership_lease(self, now: int) -> bool:
         """Whether a duty that the log assigns to this daemon is certainly still its own.
 
         A successor waits for LEASE, whatever `serve_on` of this daemon is.
         """
         return self.fresh_as_of is not None and now - self.fresh_as_of <= LEASE
 
-    def in_touch(self, now: int) -> bool:
+    def is_in_touch(self, now: int) -> bool:
         """Whether a quorum confirmed the tables within OUT_OF_TOUCH_AFTER; False at the start."""
         age = self.age(now)
         return age is not None and age <= OUT_OF_TOUCH_AFTER
 
-    def cores(self) -> list[str]:
+    def store_addresses(self) -> list[str]:
         """Return the addresses of stores.
 
         First those of the own machine, then of the own zone, then the other voters, then those that
         only seeds named.
         """
         ordered = sorted(
-            self.tables.core,
-            key=lambda member: (
-                member["name"] != self.card.name,
-                member["zone"] != self.card.zone,
-                weight(self.card.id, member["identity"]),
+            self.tables.voters,
+            key=lambda voter: (
+                voter.name != self.descriptor.name,
+                voter.zone != self.descriptor.zone,
+                weight(self.descriptor.id, voter.identity),
             ),
         )
-        known = [member["address"] for member in ordered]
-        return known + [address for address in self.seed_cores if address not in known]
+        known = [voter.address for voter in ordered]
+        return known + [address for address in self.seed_store_addresses if address not in known]
 
-    def live(self, kind: str) -> dict[str, dict]:
-        """Return the cards of all daemons of a kind whose state is "up", by id."""
+    def live_daemons(self, kind: str) -> dict[str, DaemonEntry]:
+        """Return all daemons of a kind that are up, by id."""
         return {
-            name: card
-            for name, card in self.tables.daemons.items()
-            if card["kind"] == kind and card["state"] == "up"
+            name: daemon
+            for name, daemon in self.tables.daemons.items()
+            if daemon.kind == kind and daemon.state is DaemonState.UP
         }
--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -8,7 +8,7 @@
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.follower import TOO_OLD, Follower
 from willowpost.node.node_state import NodeState
-from willowpost.wire.messages import ReadAsk, ReadTell
+from willowpost.wire.messages import QuorumReadRequest, QuorumReadResponse
 
 ASK_EVERY = 150 * MILLI
 
@@ -24,8 +24,8 @@
 
     def __init__(self, node_state: NodeState, follower: Follower):
         self.node_state, self.follower = node_state, follower
-        card = node_state.card
-        self.nonces = NonceSequence(card.id, card.incarnation, "read")
+        descriptor = node_state.descriptor
+        self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "read")
         self.reads = OpenReads()
         self.heard_at: dict[str, int] = {}  # voter -> when its last answer came
         self.asked_at = -ASK_EVERY
@@ -38,21 +38,24 @@
         """
         plan = Plan()
         match event:
-            case Received(source, ReadTell(nonce, identity, slot)) if identity in self._voters():
+            case Received(source, QuorumReadResponse(nonce, identity, slot)) if (
+                identity in self._voters()
+            ):
                 self._note_heard(identity, now)
                 if nonce in self.reads.open:
                     self.reads.hear(nonce, identity, slot)
                     if slot > self.node_state.tables.slot:
                         self.follower.poll(source, now, plan)
             case Tick() if (
-                self.node_state.tables.core
+                self.node_state.tables.voters
                 and now - self.asked_at >= ASK_EVERY
                 and self._stale(now)
             ):
                 nonce, self.asked_at = self.nonces.next(), now
                 self.reads.begin(nonce, now, self.node_state.tables.epoch, {})
                 plan.sends += [
-                    (member["address"], ReadAsk(nonce)) for member in self.node_state.tables.core
+                    (voter.address, QuorumReadRequest(nonce))
+                    for voter in self.node_state.tables.voters
                 ]
         self._settle()
         return plan
@@ -65,13 +68,13 @@
         )
         node_state, quorum_at = self.node_state, moments[self._quorum() - 1]
         if quorum_at >= 0:
-            node_state.quorum_heard_at = max(node_state.quorum_heard_at or 0, quorum_at)
+            node_state.quorum_contact_at = max(node_state.quorum_contact_at or 0, quorum_at)
 
     def _quorum(self):
-        return Thresholds(len(self.node_state.tables.core)).heard
+        return Thresholds(len(self.node_state.tables.voters)).quorum
 
     def _voters(self):
-        return {member["identity"] for member in self.node_state.tables.core}
+        return self.node_state.tables.voter_identities()
 
     def _stale(self, now):
         age = self.node_state.age(now)
@@ -81,4 +84,4 @@
         tables = self.node_state.tables
         asked_at = self.reads.settled(tables.epoch, self._quorum(), tables.slot)
         if asked_at is not None:
-            self.node_state.whole_as_of(asked_at)
+            self.node_state.confirm_as_of(asked_at)
--- a/src/willowpost/proxy/admission/admission_tokens.py
+++ b/src/willowpost/proxy/admission/admission_tokens.py
@@ -10,10 +10,10 @@
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.proxy.admission.buckets import Bucket, ramped, ramps_in_tokens
-from willowpost.proxy.admission.quota_shares import QuotaShareOwner, in_whole_tokens
+from willowpost.proxy.admission.quota_shares import QuotaShareOwner, in_whole_tokens, role_of
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import ServiceCard
-from willowpost.wire.messages import AdmissionTokenAsk, AdmissionTokenTell
+from willowpost.wire.messages import AdmissionTokenRequest, AdmissionTokenResponse
 
 ANSWER_WITHIN = 300 * MILLI
 
@@ -35,8 +35,8 @@
 
     def __init__(self, node_state: ProxyState):
         self.node_state = node_state
-        card = node_state.card
-        self.nonces = NonceSequence(card.id, card.incarnation, "admission_token")
+        descriptor = node_state.descriptor
+        self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "admission_token")
         self.open: dict[int, tuple[object, int]] = {}  # nonce -> (ticket, asked at)
 
     def step(self, event: object, now: int) -> Plan:
@@ -45,7 +45,7 @@
         match event:
             case AdmissionTokenWanted() as wanted:
                 self._ask(wanted, now, plan)
-            case Received(_, AdmissionTokenTell(nonce, given)) if nonce in self.open:
+            case Received(_, AdmissionTokenResponse(nonce, given)) if nonce in self.open:
                 plan.replies.append((self.open.pop(nonce)[0], given))
             case Tick():
                 for nonce in [
@@ -55,16 +55,17 @@
         return plan
 
     def _ask(self, wanted: AdmissionTokenWanted, now: int, plan: Plan) -> None:
-        held = self.node_state.tables.fences.get(f"quota_share/{wanted.service}")
-        owner = self.node_state.tables.daemons.get(held["owner"]) if held else None
-        if held is None or owner is None:
+        tables = self.node_state.tables
+        ownership = tables.ownerships.get(role_of(wanted.service))
+        owner = tables.daemons.get(ownership.owner) if ownership else None
+        if ownership is None or owner is None:
             plan.replies.append((wanted.ticket, False))
             return
         nonce = self.nonces.next()
         self.open[nonce] = (wanted.ticket, now)
         plan.send(
-            owner["address"],
-            AdmissionTokenAsk(nonce, wanted.service, held["fence"], wanted.origin),
+            owner.address,
+            AdmissionTokenRequest(nonce, wanted.service, ownership.fencing_token, wanted.origin),
         )
 
 
@@ -83,11 +84,11 @@
         """Gives tokens to those who ask; `now` is in µs."""
         plan = Plan()
         match event:
-            case Received(source, AdmissionTokenAsk(nonce, service, fence, origin)):
+            case Received(source, AdmissionTokenRequest(nonce, service, fence, origin)):
                 since = self.owner.rules_since(service, fence, now)
                 plan.send(
                     source,
-                    AdmissionTokenTell(
+                    AdmissionTokenResponse(
                         nonce, since is not None and self._take(service, fence, origin, since, now)
                     ),
                 )
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -5,7 +5,6 @@
 import gevent
 
 from willowpost.common.clock import MILLI, Clock
-from willowpost.node.node_state import Card
 from willowpost.proxy.admission.buckets import Allowance, Ramp
 from willowpost.proxy.admission.budget import BudgetSettings, RetryBudget
 from willowpost.proxy.caller.pacing import LinkPacer
@@ -24,6 +23,7 @@
 from willowpost.shell.metrics import MetricsPage
 from willowpost.shell.runner import Runner
 from willowpost.shell.web import WebServer, status_line
+from willowpost.state.entries import DaemonDescriptor
 
 TIDY_SECONDS = 0.05
 TELLS = 40
@@ -60,11 +60,11 @@
         words: Names of the headers shared with callers and origins.
     """
 
-    def __init__(self, place, logs, words: Words = Words()):
-        self.logs = logs
-        self.runner = Runner(place.address, logs)
+    def __init__(self, place, logger, words: Words = Words()):
+        self.logger = logger
+        self.runner = Runner(place.address, logger)
         self.clock = Clock()
-        card = Card(
+        card = DaemonDescriptor(
             f"{place.name}/proxy",
             "proxy",
             place.role,
@@ -76,9 +76,9 @@
         )
         self.node = ProxyNode(card, place.seeds, self.clock.wall, place.cache_bytes, place.regions)
         self.node_state = self.node.node_state
-        self.node_state.serve_on = place.serve_on_ms * MILLI
+        self.node_state.max_stale_serving = place.serve_on_ms * MILLI
         stats = Counter()
-        self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logs.say)
+        self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.log)
         self.pool = ConnectionPool(self.clock)
         budget = RetryBudget(
             self.node_state.proxies,
@@ -108,13 +108,13 @@
             RequestPlanner(self.node_state, self.node.cache, self.clock, place.regions),
             carrier,
             stats,
-            logs,
+            logger,
             words,
             place.health is None,
             LinkPacer(place.link_mbps),
         )
-        self.node.leaver.spans = place.spans()
-        self.node.leaver.in_flight = lambda: self.front.in_flight
+        self.node.shutdown.spans = place.spans()
+        self.node.shutdown.in_flight = lambda: self.front.in_flight
         self.webs = [WebServer(place.http, self.front, ProxyHandler)]
         if place.health is not None:
             self.webs.append(WebServer(place.health, HealthPage(self.front)))
@@ -153,7 +153,7 @@
             {name: count for name, count in self.front.stats.items() if name.startswith("why.")}
         )
         if now != told:
-            self.logs.say(
+            self.logger.log(
                 "front",
                 "reject",
                 **{name.removeprefix("why."): count for name, count in (now - told).items()},
--- a/src/willowpost/proxy/node.py
+++ b/src/willowpost/proxy/node.py
@@ -5,18 +5,18 @@
 
 from willowpost.common.plan import Plan
 from willowpost.node.command_client import CommandClient
+from willowpost.node.failure_detector import FailureDetector
 from willowpost.node.follower import Follower
-from willowpost.node.joiner import Joiner
-from willowpost.node.leaver import Leaver
-from willowpost.node.node_state import Card
+from willowpost.node.graceful_shutdown import GracefulShutdown
+from willowpost.node.join import FleetJoin
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.node.watch import Watch
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenOwner, AdmissionTokenTaker
 from willowpost.proxy.admission.quota_shares import QuotaShareOwner, QuotaShareTaker
 from willowpost.proxy.cache.store import BYTES_MOST, CacheStore
 from willowpost.proxy.origin.reports import Reports
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.keeper import SnapshotKeeper
+from willowpost.state.entries import DaemonDescriptor
 
 
 class ProxyNode:
@@ -32,16 +32,20 @@
         regions: Zone to region; empty if regions do not matter.
     """
 
-    def __init__(self, card: Card, seeds, wall, cache_bytes: int = BYTES_MOST, regions=None):
+    def __init__(
+        self, card: DaemonDescriptor, seeds, wall, cache_bytes: int = BYTES_MOST, regions=None
+    ):
         self.node_state = ProxyState(card)
         self.cache = CacheStore(cache_bytes)
-        self.command_client = CommandClient(card.id, card.incarnation, self.node_state.cores, wall)
+        self.command_client = CommandClient(
+            card.id, card.incarnation, self.node_state.store_addresses, wall
+        )
 
         def tables():
             return self.node_state.tables
 
-        self.joiner = Joiner(card, tables, self.command_client)
-        self.leaver = Leaver(self.node_state, self.command_client, self.joiner)
+        self.fleet_join = FleetJoin(card, tables, self.command_client)
+        self.shutdown = GracefulShutdown(self.node_state, self.command_client, self.fleet_join)
         owner = QuotaShareOwner(self.node_state, self.command_client)
         follower = Follower(self.node_state, seeds)
         self.controllers = [
@@ -50,9 +54,9 @@
             SnapshotKeeper(self.node_state, self.cache, regions),
             Reports(self.node_state),
             self.command_client,
-            Watch(card, tables, self.command_client),
-            self.joiner,
-            self.leaver,
+            FailureDetector(card, tables, self.command_client),
+            self.fleet_join,
+            self.shutdown,
             owner,
             QuotaShareTaker(self.node_state),
             AdmissionTokenOwner(self.node_state, owner),
--- a/src/willowpost/proxy/proxy_state.py
+++ b/src/willowpost/proxy/proxy_state.py
@@ -41,7 +41,7 @@
     # since when the tables have this proxy as joined and not lost
     joined_at: int | None = None
     # the former incarnation was still joined in the first tables seen: its quota was kept
-    held_seat: bool = False
+    kept_quota: bool = False
     # service -> since when this proxy is one of its senders; None: since the service is known here
     sender_since: dict = field(default_factory=dict)
     # (shield, incarnation) -> since when it is seen up
@@ -74,7 +74,7 @@
 
     def proxies(self) -> int:
         """The number of registered proxies, lost ones included, since they may return."""
-        return sum(card["kind"] == "proxy" for card in self.tables.daemons.values())
+        return sum(daemon.kind == "proxy" for daemon in self.tables.daemons.values())
 
     def denies(self, now: int) -> bool:
         """Whether the tables may deny a request: a configuration is there, and it is current.
@@ -83,8 +83,8 @@
         confirmed within `OUT_OF_TOUCH_AFTER` can tell that something does not exist or is too
         large. `leased` may be much longer than that.
         """
-        known = self.snapshot.version > 0 or self.tables.configuration["tree"] is not None
-        return known and self.in_touch(now)
+        known = self.snapshot.version > 0 or self.tables.configuration.tree is not None
+        return known and self.is_in_touch(now)
 
     def emptied(self, now: int) -> bool:
         """Whether this proxy's zone has been evacuated for at least `ZONE_GRACE`."""
--- a/src/willowpost/proxy/routing/keeper.py
+++ b/src/willowpost/proxy/routing/keeper.py
@@ -3,6 +3,8 @@
 from willowpost.common.plan import Plan
 from willowpost.proxy.proxy_state import WARMED_UP_AFTER, ProxyState
 from willowpost.proxy.routing.snapshot import SnapshotMaker
+from willowpost.state.entries import EvacuationScope
+from willowpost.state.lifecycle import DaemonState
 
 
 class SnapshotKeeper:
@@ -25,11 +27,13 @@
         node_state.snapshot = self.maker.make(tables)
         self._note_senders(former, now)
         if node_state.snapshot.version != before:
-            plan.note(
+            plan.log(
                 "configuration", "in force", version=node_state.snapshot.version, slot=tables.slot
             )
-        card = tables.zones.get(node_state.card.zone, {})
-        emptied = card.get("empty", False) and card.get("what") != "origins"
+        order = tables.zone_evacuations.get(node_state.descriptor.zone)
+        emptied = (
+            order is not None and order.is_evacuated and order.scope != EvacuationScope.ORIGINS
+        )
         node_state.emptied_at = (
             None
             if not emptied
@@ -37,11 +41,13 @@
             if node_state.emptied_at is not None
             else now
         )
-        own = tables.daemons.get(node_state.card.id)
-        up = own is not None and own["state"] != "lost"
-        node_state.held_seat = up and (first or node_state.held_seat)
-        counted = up and (node_state.held_seat or own["incarnation"] == node_state.card.incarnation)
-        since = now - WARMED_UP_AFTER if node_state.held_seat else now
+        own = tables.daemons.get(node_state.descriptor.id)
+        up = own is not None and own.state is not DaemonState.LOST
+        node_state.kept_quota = up and (first or node_state.kept_quota)
+        counted = up and (
+            node_state.kept_quota or own.incarnation == node_state.descriptor.incarnation
+        )
+        since = now - WARMED_UP_AFTER if node_state.kept_quota else now
         node_state.joined_at = (
             None
             if not counted
@@ -67,7 +73,7 @@
         A service that is new here, or whose first snapshot this is, had no other senders whose use
         of its rate this one would not know.
         """
-        node_state, own = self.node_state, self.node_state.card.id
+        node_state, own = self.node_state, self.node_state.descriptor.id
         held = node_state.sender_since
         node_state.sender_since = {
             name: held.get(name, now if name in former.services else None)
--- a/src/willowpost/registry/daemon.py
+++ b/src/willowpost/registry/daemon.py
@@ -3,12 +3,13 @@
 import gevent
 
 from willowpost.common.clock import Clock
-from willowpost.node.node_state import Card
 from willowpost.registry.front import Front
 from willowpost.registry.node import RegistryNode
+from willowpost.registry.origin_health import HealthCheckFinished
 from willowpost.shell.probe import probe_status
 from willowpost.shell.runner import Runner
 from willowpost.shell.web import CountingHandler, Router, WebServer
+from willowpost.state.entries import DaemonDescriptor
 
 PROBE_SECONDS = 1.0
 UNSOUND_FROM = 500  # statuses from which an origin counts as not there
@@ -36,22 +37,22 @@
     def _probe(self, origin, address, path):
         status = probe_status(address, path or "/", PROBE_SECONDS)
         sound = status is not None and status < UNSOUND_FROM
-        self.runner.inbox.put(("probed", origin, sound))
+        self.runner.inbox.put(HealthCheckFinished(origin, sound))
 
 
 class RegistryDaemon:
     """A registry with its server.
 
     Args:
-        place: the checked settings (a `Place`).
+        place: the checked settings (a `ProcessSettings`).
         logs: where the process logs.
         routes: makes the routes of a `Front`; another entry point may put its own before them.
     """
 
-    def __init__(self, place, logs, routes=Front.routes):
-        self.runner = Runner(place.address, logs)
+    def __init__(self, place, logger, routes=Front.routes):
+        self.runner = Runner(place.address, logger)
         clock = Clock()
-        card = Card(
+        card = DaemonDescriptor(
             f"{place.name}/registry",
             "registry",
             "core",
@@ -63,10 +64,10 @@
         )
         self.node = RegistryNode(card, place.seeds, clock.wall, Prober(self.runner).probe)
         router = Router(
-            routes(Front(self.runner, logs)), logs, lambda: self.node.node_state.draining
+            routes(Front(self.runner, logger)), logger, lambda: self.node.node_state.is_draining
         )
-        self.node.leaver.spans = place.spans()
-        self.node.leaver.in_flight = lambda: router.in_flight
+        self.node.shutdown.spans = place.spans()
+        self.node.shutdown.in_flight = lambda: router.in_flight
         self.web = WebServer(place.http, router, CountingHandler)
 
     def start(self) -> None:
@@ -75,5 +76,5 @@
         self.web.start()
 
     def stop(self) -> None:
-        """End as planned (`node/leaver.py`); returns when the process may end."""
+        """End as planned (`node/graceful_shutdown.py`); returns when the process may end."""
         self.runner.leave(self.web.server.close)
--- a/src/willowpost/shell/logs.py
+++ b/src/willowpost/shell/structured_log.py
@@ -7,7 +7,7 @@
 from pythonjsonlogger.json import JsonFormatter
 
 
-class Logs:
+class StructuredLogger:
     """A logger; every line is a JSON object with time, program, name and message."""
 
     def __init__(self, program: str, name: str, level: str = "INFO", stream: TextIO | None = None):
@@ -22,10 +22,10 @@
         )
         self.logger.addHandler(handler)
 
-    def heed(self, level: str) -> None:
+    def set_level(self, level: str) -> None:
         """Log from this level on."""
         self.logger.setLevel(getattr(logging, level))
 
-    def say(self, part: str, sentence: str, level: str = "info", **more: Any) -> None:
+    def log(self, part: str, sentence: str, level: str = "info", **more: Any) -> None:
         """Log a sentence of a part, with fields."""
         getattr(self.logger, level)(f"{part}: {sentence}", extra=more)
--- a/src/willowpost/sim/core.py
+++ b/src/willowpost/sim/core.py
@@ -2,14 +2,15 @@
 
 from dataclasses import replace
 
-from willowpost.common.events import Asked
-from willowpost.consensus.replica.bootstrap import Rights
+from willowpost.common.events import SubmitOperations
+from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.consensus.replica.records import identity_record
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.command_client import CommandClient
 from willowpost.sim.rules import CoreRules
 from willowpost.sim.world import World, seconds
+from willowpost.state.codec import MEMBER
 from willowpost.store.node import StoreNode
 from willowpost.wire.messages import Member
 
@@ -54,12 +55,12 @@
         seed,
         weather=None,
         unsafe_send=False,
-        pace=Pace(),
+        pace=ReplicaTuning(),
         thresholds=Thresholds,
         zones=ZONES,
         regions=None,
         members=None,
-        rights=Rights(),
+        rights=VoterPolicy(),
     ):
         super().__init__(seed, weather, unsafe_send)
         self.members, self.rights = members or len(zones), rights
@@ -89,13 +90,13 @@
                 me = Member(f"{name}-{self.chance.randrange(10**9)}", name, zone, address)
                 records = [{**identity_record(me), "may_bootstrap": seat.incarnation == 1}]
                 seat.disk.records = list(records)
-            held = records[0]
-            me = Member(held["identity"], held["name"], held["zone"], held["address"])
+            me = MEMBER.decode(records[0])
             # where bootstrap members are seeds, only the first start of all may found
+            is_first_start = records[0].get("may_bootstrap", False)
             rights = replace(
                 self.rights,
                 may_bootstrap=self.rights.may_bootstrap
-                and (held.get("may_bootstrap", False) or not self.rights.bootstrap_from_seeds),
+                and (is_first_start or not self.rights.bootstrap_from_seeds),
             )
             return StoreNode(
                 me,
@@ -124,10 +125,10 @@
             region,
         )
 
-    def ask(self, caller, *ops):
+    def ask(self, caller, *operations):
         """Submits operations through a client; returns the token of the reply."""
         self.asked += 1
-        self.give(caller, Asked(self.asked, ops))
+        self.give(caller, SubmitOperations(self.asked, operations))
         return self.asked
 
     def node_states(self):
@@ -140,7 +141,7 @@
 
     def bootstrapped(self):
         """Whether all running stores have bootstrapped."""
-        return all(node_state.bootstrapped for _, node_state in self.node_states())
+        return all(node_state.is_bootstrapped for _, node_state in self.node_states())
 
     def settle(self, span=15.0):
         """Ends every fault, runs for `span` seconds and checks that nothing accepted was lost.
--- a/src/willowpost/sim/fleet/faults/bounded.py
+++ b/src/willowpost/sim/fleet/faults/bounded.py
@@ -1,7 +1,7 @@
 """Kinds of faults that a deployment at its peak load must bear, one at a time."""
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.common.events import Changed
+from willowpost.common.events import SettingsChanged
 from willowpost.sim.fleet.faults.disks import SLOW_TIMES
 from willowpost.sim.world import seconds
 
@@ -98,7 +98,7 @@
         return self._die(
             [
                 self.world.chance.choice(
-                    sorted({card["owner"] for card in tables.fences.values()})
+                    sorted({ownership.owner for ownership in tables.ownerships.values()})
                 ).split("/")[0]
             ]
         )
@@ -159,7 +159,7 @@
         """Every process is told other seeds while it runs."""
         self.world.seed_names = self.world.chance.sample(self.world.registries, 3)
         for name in (*self.world.names, *self.world.registries, *self.world.edges):
-            self.world.give(name, Changed(tuple(self.world.seed_names)))
+            self.world.give(name, SettingsChanged(tuple(self.world.seed_names)))
         return False
 
     def spot_removal(self):
@@ -193,9 +193,9 @@
 
     def orders_race(self):
         """Two operators replace the same version at once."""
-        held = self.world.version
+        version = self.world.version
         for number in self.world.chance.sample(range(5), 2):
-            self._change_and_put(number, if_match=held)
+            self._change_and_put(number, if_match=version)
         return False
 
     def _change_and_put(self, number, if_match=None):
--- a/src/willowpost/sim/fleet/faults/machines.py
+++ b/src/willowpost/sim/fleet/faults/machines.py
@@ -48,15 +48,15 @@
         """At most one disk is lost at a time: the fleet is asked to bear one."""
         world = self.world
         holders = [
-            member["name"]
+            voter.name
             for _, node_state in world.node_states()
-            for member in node_state.tables.core
+            for voter in node_state.tables.voters
         ]
         whole = {
             name
             for name in world.names
             if any(
-                seat.address == name and node_state.voter
+                seat.address == name and node_state.is_voter
                 for seat, node_state in world.node_states()
             )
         }
@@ -68,7 +68,7 @@
     def newcomer(self):
         """A core machine is gone for good; an empty one stands up at a new address."""
         world = self.world
-        voters = {seat.address for seat, node_state in world.node_states() if node_state.voter}
+        voters = {seat.address for seat, node_state in world.node_states() if node_state.is_voter}
         if (
             self.newcomers < NEWCOMERS
             and len(voters) == 5
@@ -80,7 +80,7 @@
             world.crash(lost, lose_disk=True)
             name = f"s{9 - self.newcomers}"
             world.seats[lost].retired = True
-            world.names = [held for held in world.names if held != lost] + [name]
+            world.names = [other for other in world.names if other != lost] + [name]
             world.zones[name] = zone
             world.add_store(name, name, zone)
 
@@ -192,5 +192,7 @@
 
     def _disks_whole(self):
         """Whether all five voters hold their own disks: one loss at a time."""
-        voters = {seat.address for seat, node_state in self.world.node_states() if node_state.voter}
+        voters = {
+            seat.address for seat, node_state in self.world.node_states() if node_state.is_voter
+        }
         return voters == set(self.world.names) and len(voters) == 5
--- a/src/willowpost/sim/fleet/settling.py
+++ b/src/willowpost/sim/fleet/settling.py
@@ -1,7 +1,7 @@
 """Planned restarts, and the end of a run: faults end, and the fleet must recover."""
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.node.leaver import Leave
+from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.sim.world import seconds
 
 AGAIN_SECONDS = 2.0  # until the operator asks once more for what may have been lost
@@ -15,22 +15,22 @@
     def restart(self, address):
         """A planned restart by the platform: the process is asked to leave, then restarted."""
         node = self.seats[address].node
-        leaver = getattr(getattr(node, "node", node), "leaver", None)
-        if leaver is None:  # it is down
+        shutdown = getattr(getattr(node, "node", node), "shutdown", None)
+        if shutdown is None:  # it is down
             self.crash(address)
             self.at(SECOND, self.bring_back, address)
             return
-        self.give(address, Leave())
-        self.at(LOOK_EVERY, self._left, address, leaver, self.seats[address].incarnation)
+        self.give(address, ShutdownRequested())
+        self.at(LOOK_EVERY, self._left, address, shutdown, self.seats[address].incarnation)
 
-    def _left(self, address, leaver, incarnation):
+    def _left(self, address, shutdown, incarnation):
         if self.seats[address].incarnation != incarnation:
             return  # it was killed meanwhile
-        if leaver.gone:
+        if shutdown.gone:
             self.crash(address)
             self.at(SECOND, self.bring_back, address)
         else:
-            self.at(LOOK_EVERY, self._left, address, leaver, incarnation)
+            self.at(LOOK_EVERY, self._left, address, shutdown, incarnation)
 
     def bring_back(self, address):
         """Starts a machine's process, unless it runs or is gone for good."""
@@ -91,8 +91,7 @@
 
     def _judge_read_back(self):
         versions = {
-            self.seats[name].node.registry.tables.configuration["version"]
-            for name in self.registries
+            self.seats[name].node.registry.tables.configuration.version for name in self.registries
         }
         self.traffic.say(
             min(versions) >= self.version, f"read back {versions}, accepted {self.version}"
--- a/src/willowpost/sim/replacement_faults.py
+++ b/src/willowpost/sim/replacement_faults.py
@@ -3,11 +3,12 @@
 A machine counts as lost until CATCH_UP after it stood up; right after that the next may go.
 """
 
-from willowpost.consensus.replica.bootstrap import Rights
-from willowpost.node.leaver import Leave
+from willowpost.consensus.replica.bootstrap import VoterPolicy
+from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import Weather, seconds
+from willowpost.state.operations import EvacuateZone
 
 CYCLES = 4
 CATCH_UP = seconds(4)
@@ -39,7 +40,7 @@
             Weather(drop=0.03, twice=0.03, spread=4000),
             zones=zones,
             members=voters,
-            rights=Rights(bootstrap_from_seeds=True, max_voters=voters),
+            rights=VoterPolicy(bootstrap_from_seeds=True, max_voters=voters),
         )
         self.size = voters
         self.tokens: list[int] = []
@@ -78,10 +79,9 @@
 
     def seats_filled(self) -> bool:
         """Whether every voter of every store's tables is a live store with its own disk."""
-        live = {state.me.identity for _, state in self.world.node_states()}
+        live = {state.member.identity for _, state in self.world.node_states()}
         return all(
-            {member["identity"] for member in state.tables.core} <= live
-            and len(state.tables.core) == self.size
+            state.tables.voter_identities() <= live and len(state.tables.voters) == self.size
             for _, state in self.world.node_states()
         )
 
@@ -94,11 +94,12 @@
 
     def _order(self):
         zone = f"z{len(self.tokens) % 7}"
-        self.tokens.append(self.world.ask("r0", {"op": "zone", "zone": zone, "empty": True}))
+        self.tokens.append(self.world.ask("r0", EvacuateZone(zone, is_evacuated=True)))
 
     def _voters(self) -> list[str]:
-        _, newest = max(self.world.node_states(), key=lambda held: held[1].tables.slot)
-        return [member["address"] for member in newest.tables.core]
+        node_states = [node_state for _, node_state in self.world.node_states()]
+        newest = max(node_states, key=lambda node_state: node_state.tables.slot)
+        return [voter.address for voter in newest.tables.voters]
 
     def _replace_machine(self, cycle):
         world = self.world
@@ -121,8 +122,8 @@
 
     def _terminate(self, name):
         self.planned += 1
-        leaver = self.world.seats[name].node.leaver
-        self.world.give(name, Leave())
+        leaver = self.world.seats[name].node.shutdown
+        self.world.give(name, ShutdownRequested())
         end = self.world.time + WITHIN_GRACE
         while not leaver.gone and self.world.time < end:
             self._order()
--- a/src/willowpost/sim/scripted_core.py
+++ b/src/willowpost/sim/scripted_core.py
@@ -2,13 +2,15 @@
 
 from collections.abc import Callable
 
-from willowpost.consensus.replica.bootstrap import Rights
-from willowpost.node.leaver import Leave
+from willowpost.consensus.replica.bootstrap import VoterPolicy
+from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
-from willowpost.state.apply.core import is_settled
-from willowpost.store.leaver import LeaveSpans
-from willowpost.wire.messages import Pong, Submit, SyncedIndex
+from willowpost.state.apply.voters import is_change_complete
+from willowpost.state.lifecycle import DaemonState
+from willowpost.state.operations import EvacuateZone
+from willowpost.store.graceful_shutdown import StoreShutdownTimeouts
+from willowpost.wire.messages import Pong, SubmitCommand, SyncedIndex
 
 Blocks = Callable[[str, str, object], bool]
 WATCHER_SPAN = 6  # s, within which the watchers have a loss in the log
@@ -23,7 +25,7 @@
 
     def __init__(self, seed=1, zones=("a", "b", "c", "c"), members=3, max_voters=3, **world):
         self.blocked: list[Blocks] = []
-        rights = Rights(bootstrap_from_seeds=True, max_voters=max_voters)
+        rights = VoterPolicy(bootstrap_from_seeds=True, max_voters=max_voters)
         super().__init__(seed, zones=zones, members=members, rights=rights, **world)
         self.add_caller("r0", ["s0"])
 
@@ -36,7 +38,7 @@
             super()._arrive(address, source, message)
 
     def founded(self):
-        """Until all stores hold the founding and each other's cards."""
+        """Until all stores hold the founding and each other's descriptors."""
         stores = len(self.names)
         return self.until(lambda: self.bootstrapped() and self.joined() >= stores, seconds(8))
 
@@ -50,16 +52,16 @@
 
     def identity(self, name):
         """The identity that a store has on its disk."""
-        return self.state(name).me.identity
+        return self.state(name).member.identity
 
     def accept(self, zone, caller="r0", span=3.0):
         """Submits an order; whether it was accepted in that span (s)."""
-        token = self.ask(caller, {"op": "zone", "zone": zone, "empty": True})
+        token = self.ask(caller, EvacuateZone(zone, is_evacuated=True))
         return self.until(lambda: token in self.replies, seconds(span))
 
     def holds(self, name, zone):
         """Whether the order for this zone is applied at this store."""
-        return zone in self.state(name).tables.zones
+        return zone in self.state(name).tables.zone_evacuations
 
     def epoch(self, name):
         """The epoch in force as this store knows it."""
@@ -71,7 +73,7 @@
 
     def voters(self, name):
         """The names of the voters as this store knows them."""
-        return {member["name"] for member in self.state(name).tables.core}
+        return {voter.name for voter in self.state(name).tables.voters}
 
     def hold_lost(self, target):
         """The log holds a live store lost: its answers to its watchers don't come."""
@@ -82,7 +84,8 @@
 
         def lost():
             return all(
-                state.tables.daemons.get(identity, {}).get("state") == "lost"
+                identity in state.tables.daemons
+                and state.tables.daemons[identity].state is DaemonState.LOST
                 for _, state in self.node_states()
             )
 
@@ -101,7 +104,11 @@
         """This store's commands of one op are lost; returns the predicate."""
 
         def blocks(sender, address, message):
-            return sender == source and isinstance(message, Submit) and op in message.command.body
+            return (
+                sender == source
+                and isinstance(message, SubmitCommand)
+                and op in message.command.body
+            )
 
         self.blocked.append(blocks)
         return blocks
@@ -124,9 +131,9 @@
             name: the store.
             **spans: of LeaveSpans, in µs.
         """
-        leaver = self.seats[name].node.leaver
-        leaver.spans = LeaveSpans(**spans)
-        self.give(name, Leave())
+        leaver = self.seats[name].node.shutdown
+        leaver.spans = StoreShutdownTimeouts(**spans)
+        self.give(name, ShutdownRequested())
         return lambda: leaver.gone
 
     def epochs(self):
@@ -135,15 +142,15 @@
 
     def card_state(self, teller, name):
         """What one store's tables say of another."""
-        return self.state(teller).tables.daemons[self.identity(name)]["state"]
+        return self.state(teller).tables.daemons[self.identity(name)].state
 
     def votes(self, name):
         """Whether this store votes, as it knows itself."""
-        return self.state(name).voter
+        return self.state(name).is_voter
 
     def settled(self, name):
         """Whether the log shows, to this store, that the last change of the voters is finished."""
-        return is_settled(self.state(name).tables)
+        return is_change_complete(self.state(name).tables)
 
     def lose_first_index(self, source):
         """The index that this store tells with its decisions is lost; later ones are not."""
--- a/src/willowpost/stand_ins/main.py
+++ b/src/willowpost/stand_ins/main.py
@@ -7,7 +7,7 @@
 import gevent
 
 from willowpost.common.clock import Clock
-from willowpost.shell.logs import Logs
+from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.web import Answer, Router, WebServer
 from willowpost.stand_ins.origin import Ledger, StandInsOrigin
 
@@ -18,10 +18,11 @@
     So a write that ran on two of them counts twice.
     """
 
-    def __init__(self, cards):
+    def __init__(self, origins):
         self.ledger, self.clock = Ledger(), Clock()
         self.origins = {
-            card["address"]: StandInsOrigin(self.ledger, self.clock, **card) for card in cards
+            origin["address"]: StandInsOrigin(self.ledger, self.clock, **origin)
+            for origin in origins
         }
 
     def steer(self, call):
@@ -66,7 +67,7 @@
     """Run the stand-in origins of the file named on the command line."""
     settings = json.loads(Path(sys.argv[1]).read_text(encoding="utf-8"))
     standins = Standins(settings["origins"])
-    logs = Logs("stand_ins", "origins")
+    logger = StructuredLogger("stand_ins", "origins")
     WebServer(
         settings["control"],
         Router(
@@ -74,7 +75,7 @@
                 ("POST", "/steer", 65536, standins.steer),
                 ("GET", "/ledger", 0, standins.ledger_page),
             ],
-            logs,
+            logger,
         ),
     ).start()
     for origin in standins.origins.values():
--- a/src/willowpost/toolbox/folder.py
+++ b/src/willowpost/toolbox/folder.py
@@ -6,11 +6,16 @@
 from pathlib import Path
 from typing import Any
 
-from willowpost.common.formats import UnknownFormat
-from willowpost.consensus.replica.records import RecordKind, command_from, decision_from
+from willowpost.common.formats import UnknownFormatError
+from willowpost.consensus.replica.records import (
+    RecordKind,
+    command_from,
+    decision_from,
+    founding_voters,
+)
 from willowpost.shell.disk import ASIDE, segments_in
-from willowpost.shell.segment_format import DiskDamaged, parse
-from willowpost.state.apply import Apply
+from willowpost.shell.segment_format import DiskDamagedError, parse
+from willowpost.state.apply import StateMachine
 from willowpost.state.tables import Tables, tables_from
 
 
@@ -49,7 +54,7 @@
         data = Path(path).read_bytes()
         try:
             records, sound = parse(data)
-        except (DiskDamaged, UnknownFormat) as damage:
+        except (DiskDamagedError, UnknownFormatError) as damage:
             return [*findings, Finding(names[-1], str(damage))], facts
         if sound < len(data):
             findings.append(
@@ -118,13 +123,13 @@
             if slot is not None and tables.epoch and tables.slot >= slot:
                 break
             if record["k"] == RecordKind.FOUND:
-                tables = Tables(epoch=1, core=tuple(record["core"]))
+                tables = Tables(epoch=1, voters=founding_voters(record))
             elif record["k"] == RecordKind.SNAPSHOT:
                 tables = tables_from(record["text"])
             elif record["k"] == RecordKind.BALLOT_STATE:
                 proposed = command_from(record["command"]) or proposed
             elif record["k"] == RecordKind.DECISION:
-                tables = Apply().step(tables, decision_from(record, proposed))
+                tables = StateMachine().apply(tables, decision_from(record, proposed))
         if slot is not None and tables.slot != slot:
             raise ValueError(
                 f"the folder holds slots {tables.slot} and later"
--- a/tests/consensus/test_bootstrap_fault_schedules.py
+++ b/tests/consensus/test_bootstrap_fault_schedules.py
@@ -15,7 +15,7 @@
 @dataclass(frozen=True, slots=True)
 class EachAlone(Thresholds):
     @property
-    def heard(self):
+    def quorum(self):
         return 1
 
     @property
@@ -23,14 +23,14 @@
         return 1
 
     @property
-    def decides(self):
+    def deciding_votes(self):
         return 1
 
 
 @dataclass(frozen=True, slots=True)
 class OneVoteDecides(Thresholds):
     @property
-    def decides(self):
+    def deciding_votes(self):
         return 1
 
 
@@ -73,7 +73,7 @@
 
     def test_saying_accepted_too_early_is_caught(self):
         with patch(
-            "willowpost.consensus.replica.replica_state.ReplicaState.safe", lambda self: 10**9
+            "willowpost.consensus.replica.replica_state.ReplicaState.safe_slot", lambda self: 10**9
         ):
             self.assertIn("disks holding it", first_broken(range(10), **ALONE))
 
--- a/tests/consensus/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -4,18 +4,21 @@
 import unittest
 from heapq import heappop, heappush
 
+from tests.support.entries import member
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
-from willowpost.consensus.replica.replica_state import Pace
+from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.node.follower import Follower
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.shell.segment_format import segment_of
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
-from willowpost.state.snapshot_transfer import PIECE_BYTES
+from willowpost.state.configuration_changes import ConfigurationProposal
+from willowpost.state.entries import ActiveConfiguration
+from willowpost.state.snapshot_transfer import CHUNK_BYTES
 from willowpost.state.tables import Tables, tables_from
 from willowpost.wire.codec import Codec
-from willowpost.wire.messages import StateUpdate, Tell
+from willowpost.wire.messages import CatchupResponse, StateUpdate
 
 ROUTES = 700
 FRAME_BYTES_MOST = 2 * 1024 * 1024  # what any message of catch-up stays below
@@ -43,14 +46,14 @@
 
     def __call__(self, world, seat, event, plan):
         for _, message in plan.sends:
-            if isinstance(message, (Tell, StateUpdate)):
+            if isinstance(message, (CatchupResponse, StateUpdate)):
                 self.largest = max(self.largest, len(CODEC.encode(seat.address, message)))
 
 
 class LargeCore:
     """Three stores that take large configurations one after the other."""
 
-    def __init__(self, seed, pace=Pace(), zones=("a", "b", "c")):
+    def __init__(self, seed, pace=ReplicaTuning(), zones=("a", "b", "c")):
         self.world = world = CoreWorld(seed, pace=pace, zones=zones, members=3)
         self.sizes = Sizes()
         world.checks.append(self.sizes)
@@ -63,7 +66,7 @@
         for _ in range(count):
             self.changes += 1
             token = self.world.ask(
-                "r", {"op": "configuration", "tree": tree(self.changes, routes), "source": "s"}
+                "r", ConfigurationProposal(tree=tree(self.changes, routes), source="s")
             )
             assert self.world.until(lambda token=token: token in self.world.replies, seconds(5))
 
@@ -93,38 +96,40 @@
             self.assertEqual(core.slot("s0"), core.slot("s1"))
             for seat, state in core.world.node_states():
                 now = core.world.now(seat)
-                state.outgoing_snapshot.piece(state.tables, -1, state.log_floor, None, now)
+                state.outgoing_snapshot.chunk(state.tables, -1, state.log_floor, None, now)
         core.world.weather.least = 20 * MILLI  # so that a transfer can be stopped half-way
         core.world.start("s2")
         return core
 
     def test_it_takes_the_snapshot_in_pieces_and_then_the_log(self):
-        pace = Pace(keep=8, rotate=16)
+        pace = ReplicaTuning(keep=8, rotate=16)
         for lose_disk in (False, True):
             core = self.away(50, pace, lose_disk)
             self.assertIsNotNone(core.caught_up("s2"), lose_disk)
-            self.assertGreater(core.sizes.largest, PIECE_BYTES)
+            self.assertGreater(core.sizes.largest, CHUNK_BYTES)
             self.assertLess(core.sizes.largest, FRAME_BYTES_MOST)
             core.world.settle(3)
 
     def test_decisions_are_told_in_frames_that_a_receiver_takes(self):
-        core = self.away(50, Pace())
+        core = self.away(50, ReplicaTuning())
         self.assertIsNotNone(core.caught_up("s2"))
         self.assertLess(core.sizes.largest, FRAME_BYTES_MOST)
 
     def begun(self, core, parts=2):
         """Until s2 has so many pieces of the snapshot, but not all."""
         partial = core.partial("s2")
-        self.assertTrue(core.world.until(lambda: len(partial.pieces) >= parts, seconds(5)))
+        self.assertTrue(core.world.until(lambda: len(partial.chunks) >= parts, seconds(5)))
         return partial
 
     def test_another_source_finishes_what_one_that_died_began(self):
-        core, told = self.away(50, Pace(keep=8, rotate=16), texts_held=True), []
+        core, told = self.away(50, ReplicaTuning(keep=8, rotate=16), texts_held=True), []
         core.world.checks.append(
             lambda world, seat, event, plan: told.extend(
                 (seat.address, message.piece.slot, message.piece.offset)
                 for address, message in plan.sends
-                if address == "s2" and isinstance(message, Tell) and message.piece is not None
+                if address == "s2"
+                and isinstance(message, CatchupResponse)
+                and message.piece is not None
             )
         )
         partial = self.begun(core)
@@ -138,14 +143,14 @@
 
     def test_a_source_that_is_cut_off_half_way_holds_nobody_up(self):
         for source in ("s0", "s1"):
-            core = self.away(50, Pace(keep=8, rotate=16))
+            core = self.away(50, ReplicaTuning(keep=8, rotate=16))
             self.begun(core)
             core.world.cut([source], ["s2"])
             core.change(3)
             self.assertIsNotNone(core.caught_up("s2"), source)
 
     def test_killed_at_any_piece_it_starts_from_its_disk_and_takes_the_snapshot_anew(self):
-        core = self.away(50, Pace(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
         for parts in (1, 2):
             self.begun(core, parts)
             core.world.crash("s2")
@@ -154,7 +159,7 @@
         core.world.settle(3)
 
     def test_killed_while_the_snapshot_is_written_it_has_the_old_disk_or_the_new(self):
-        core = self.away(50, Pace(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
         seat = core.world.seats["s2"]
         seat.crash_on_write = 1.0  # whatever it writes first is lost, and with it this life
         self.assertTrue(core.world.until(lambda: seat.node is None, seconds(5)))
@@ -165,7 +170,7 @@
 
     def test_slow_and_stalled_disks_delay_it_and_no_more(self):
         for trouble in ({"slowness": 30}, {"stalled_until": None}):
-            core = self.away(50, Pace(keep=8, rotate=16))
+            core = self.away(50, ReplicaTuning(keep=8, rotate=16))
             for name in ("s0", "s2"):  # the one that writes the snapshot, and a source
                 disk = core.world.seats[name].disk
                 if "slowness" in trouble:
@@ -175,7 +180,7 @@
             self.assertIsNotNone(core.caught_up("s2", 20), trouble)
 
     def test_a_text_is_made_once_for_all_that_are_behind(self):
-        core = self.away(50, Pace(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
         made = []
         tables = type(core.world.seats["s0"].node.node_state.tables)
         text = tables.text
@@ -193,25 +198,25 @@
 
     def __init__(self, delay):
         self.delay, self.heap, self.sent = delay, [], 0
-        core = ({"identity": "A", "name": "A", "zone": "a", "address": "A:1"},)
-        configuration = {"version": 1, "tree": tree(1)}
-        whole = Tables(slot=90, epoch=1, core=core, configuration=configuration)
+        voters = (member("A", address="A:1"),)
+        configuration = ActiveConfiguration(1, tree(1))
+        whole = Tables(slot=90, epoch=1, voters=voters, configuration=configuration)
         # "A:1" is a follower here too: whom it asks makes no difference
         self.nodes = {
-            "A:1": NodeState(self.card("A"), whole, fresh_as_of=0),
-            "r:1": NodeState(self.card("r"), seed_cores=("A:1",)),
+            "A:1": NodeState(self.descriptor("A"), whole, fresh_as_of=0),
+            "r:1": NodeState(self.descriptor("r"), seed_store_addresses=("A:1",)),
         }
         self.followers = {
             address: Follower(node, [], tree=False) for address, node in self.nodes.items()
         }
 
-    def card(self, name):
-        return Card(name, "registry", "core", name, "a", f"{name}:1", "", 7)
+    def descriptor(self, name):
+        return DaemonDescriptor(name, "registry", "core", name, "a", f"{name}:1", "", 7)
 
     def run(self, span):
         """Until the second one is fresh; the time that it took in us, or None."""
         for now in range(0, span, 10 * MILLI):
-            self.nodes["A:1"].whole_as_of(now)
+            self.nodes["A:1"].confirm_as_of(now)
             while self.heap and self.heap[0][0] <= now:
                 _, _, target, source, message = heappop(self.heap)
                 self.step(target, Received(source, message), now)
@@ -232,10 +237,10 @@
         for delay in (MILLI, 200 * MILLI, 400 * MILLI):
             wire = Wire(delay)
             size = len(wire.nodes["A:1"].tables.text())
-            self.assertGreater(size, 2 * PIECE_BYTES)
+            self.assertGreater(size, 2 * CHUNK_BYTES)
             self.assertIsNotNone(wire.run(10 * SECOND), delay)
             self.assertEqual(90, wire.nodes["r:1"].tables.slot)
-            # beyond STALLED_AFTER polls ask for pieces again that are under way
+            # beyond STALLED_AFTER_US polls ask for pieces again that are under way
             most = 1.1 if delay < 200 * MILLI else 4
             self.assertLess(wire.sent, most * size, delay)
 
@@ -248,12 +253,12 @@
         update = StateUpdate(nonce, 90, 0, True, snapshot=text)
         plan = follower.step(Received("A:1", update), MILLI)
         self.assertEqual((0, None), (wire.nodes["r:1"].tables.slot, wire.nodes["r:1"].fresh_as_of))
-        self.assertIn("unknown format", plan.notes[0][1])
+        self.assertIn("unknown format", plan.log_entries[0][1])
 
 
 class Bounded(unittest.TestCase):
     def test_disk_and_log_do_not_grow_with_the_number_of_changes(self):
-        pace = Pace(keep_bytes=2 * 1024 * 1024, rotate_bytes=4 * 1024 * 1024)
+        pace = ReplicaTuning(keep_bytes=2 * 1024 * 1024, rotate_bytes=4 * 1024 * 1024)
         core, sizes = LargeCore(3, pace), []
         for _ in range(3):
             core.change(12)
--- a/tests/consensus/test_core_growth.py
+++ b/tests/consensus/test_core_growth.py
@@ -3,16 +3,17 @@
 import unittest
 from unittest.mock import patch
 
-from willowpost.consensus.replica.bootstrap import Rights
+from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.consensus.replica.voting import Voting
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import seconds
-from willowpost.store.repair import Repair
+from willowpost.state.operations import EvacuateZone
+from willowpost.store.voter_repair import VoterRepair
 
 GROWING_ZONES = ("a", "b", "c", "a", "b")
-RIGHTS = Rights(bootstrap_from_seeds=True, max_voters=5)
+RIGHTS = VoterPolicy(bootstrap_from_seeds=True, max_voters=5)
 
 
 def epochs(world):
@@ -21,14 +22,14 @@
 
 MOMENTS = {
     "a first one offered itself": lambda world: any(
-        "voter_offer" in card
+        daemon.voter_offer is not None
         for _, node_state in world.node_states()
-        for card in node_state.tables.daemons.values()
+        for daemon in node_state.tables.daemons.values()
     ),
     "one has decided it": lambda world: epochs(world).count(2) >= 1,
     "two have": lambda world: epochs(world).count(2) >= 2,
     "one has opened the new epoch": lambda world: any(
-        node_state.passed >= 2 for _, node_state in world.node_states()
+        node_state.passed_epoch >= 2 for _, node_state in world.node_states()
     ),
     "all have": lambda world: epochs(world).count(2) == 5,
 }
@@ -70,13 +71,13 @@
             raise AssertionError("the moment never came")
         tokens = []
         for _ in range(8):
-            tokens.append(world.ask("r0", {"op": "zone", "zone": "z", "empty": True}))
+            tokens.append(world.ask("r0", EvacuateZone("z", is_evacuated=True)))
             world.run(seconds(0.5))
         world.run(seconds(1.5))
         answered = [token for token in tokens if token in world.replies]
         world.settle(8)
         return len(answered), sorted(
-            {len(node_state.tables.core) for _, node_state in world.node_states()}
+            {len(node_state.tables.voters) for _, node_state in world.node_states()}
         )
 
 
@@ -99,23 +100,23 @@
 
     def test_three_cannot_bear_two(self):
         """The check above can fail: without growth the same two losses stop the core."""
-        with patch.object(Repair, "_may_add_voters", lambda self: False):
+        with patch.object(VoterRepair, "_may_add_voters", lambda self: False):
             world = CoreWorld(1, zones=GROWING_ZONES, members=3, rights=RIGHTS)
             world.add_caller("r0", list(world.names))
             world.run(seconds(4))
             for victim in ("s0", "s1"):
                 world.crash(victim)
-            token = world.ask("r0", {"op": "zone", "zone": "z", "empty": True})
+            token = world.ask("r0", EvacuateZone("z", is_evacuated=True))
             world.run(seconds(4))
             self.assertNotIn(token, world.replies)
 
     def test_nothing_grows_unless_set(self):
         world = CoreWorld(
-            1, zones=GROWING_ZONES, members=3, rights=Rights(bootstrap_from_seeds=True)
+            1, zones=GROWING_ZONES, members=3, rights=VoterPolicy(bootstrap_from_seeds=True)
         )
         world.run(seconds(8))
         self.assertEqual(
-            {3}, {len(node_state.tables.core) for _, node_state in world.node_states()}
+            {3}, {len(node_state.tables.voters) for _, node_state in world.node_states()}
         )
 
     def test_a_learner_that_is_behind_does_not_offer_itself(self):
@@ -124,12 +125,12 @@
         world.cut(["s4"], ["s1", "s2"])
         world.run(seconds(6))
         self.assertEqual(
-            {3}, {len(node_state.tables.core) for _, node_state in world.node_states()}
+            {3}, {len(node_state.tables.voters) for _, node_state in world.node_states()}
         )
         world.heal()
         world.run(seconds(6))
         self.assertEqual(
-            {5}, {len(node_state.tables.core) for _, node_state in world.node_states()}
+            {5}, {len(node_state.tables.voters) for _, node_state in world.node_states()}
         )
 
 
@@ -141,7 +142,9 @@
     """
 
     def __init__(self, seed):
-        self.world = world = FleetWorld(seed, members=3, rights=Rights(bootstrap_from_seeds=True))
+        self.world = world = FleetWorld(
+            seed, members=3, rights=VoterPolicy(bootstrap_from_seeds=True)
+        )
         world.open()
         world.checks.append(self.look)
         self.knows = None
--- a/tests/consensus/test_voter_replacement.py
+++ b/tests/consensus/test_voter_replacement.py
@@ -12,18 +12,18 @@
 from willowpost.consensus.replica.barrier import (
     FormerVoter,
     first_slot,
-    former_identities,
+    previous_identities,
     quorum_index,
 )
 from willowpost.consensus.replica.missed_change import MissedChange
 from willowpost.sim.scripted_core import ScriptedCore
 from willowpost.sim.world import seconds
-from willowpost.store.leaver import StoreLeaver
+from willowpost.store.graceful_shutdown import StoreShutdown
 
 
 def only_former(node_state):
     """The barrier as it was: n - f of the former voters, the one that was put out among them."""
-    held = quorum_index(former_identities(node_state.tables), node_state.synced_indexes)
+    held = quorum_index(previous_identities(node_state.tables), node_state.synced_indexes)
     return held >= first_slot(node_state.tables)
 
 
@@ -46,9 +46,9 @@
 
     def test_the_epoch_opens_only_when_the_new_voters_hold_everything(self):
         world = self.world
-        self.assertLess(world.state("s0").passed, 2)
+        self.assertLess(world.state("s0").passed_epoch, 2)
         world.blocked.remove(self.deaf)
-        self.assertTrue(world.until(lambda: world.state("s0").passed == 2, seconds(3)))
+        self.assertTrue(world.until(lambda: world.state("s0").passed_epoch == 2, seconds(3)))
         world.take_away("s0", "s2")
         world.settle(4)
         self.assertEqual([True, True], [world.holds(name, "z") for name in ("s1", "s3")])
@@ -58,7 +58,7 @@
     def test_as_it_was_the_epoch_opens_and_the_next_loss_takes_what_was_accepted(self):
         world = self.world
         with patch.object(barrier, "holds_both_quorums", only_former):
-            self.assertTrue(world.until(lambda: world.state("s0").passed == 2, seconds(1)))
+            self.assertTrue(world.until(lambda: world.state("s0").passed_epoch == 2, seconds(1)))
             world.take_away("s0", "s2")
             world.heal()
             world.blocked.remove(self.deaf)
@@ -96,7 +96,7 @@
 
     def test_a_store_that_just_stops_takes_the_second_copy_along(self):
         world = self.lagging(("a", "b", "c"))
-        with patch.object(StoreLeaver, "_settled", lambda self: True):
+        with patch.object(StoreShutdown, "_settled", lambda self: True):
             self.leave_then_lose(world)
         self.assertFalse(world.holds("s1", "z"))
 
--- a/tests/consensus/test_weakmvc.py
+++ b/tests/consensus/test_weakmvc.py
@@ -7,7 +7,7 @@
 import unittest
 from dataclasses import replace
 
-from willowpost.consensus.kinds import NEXT, BallotValue, stage_of
+from willowpost.consensus.stages import NEXT, BallotValue, stage_of
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.consensus.weakmvc import Verdict, WeakMvc, agreed_proposal
 from willowpost.wire.messages import BallotState
@@ -101,7 +101,7 @@
             limits = Thresholds(n)
             self.assertEqual(
                 ((n - 1) // 2, n - (n - 1) // 2, n // 2 + 1, (n - 1) // 2 + 1),
-                (limits.f, limits.heard, limits.majority, limits.decides),
+                (limits.f, limits.quorum, limits.majority, limits.deciding_votes),
             )
 
 
--- a/tests/node/test_graceful_shutdown.py
+++ b/tests/node/test_graceful_shutdown.py
@@ -2,59 +2,71 @@
 
 import unittest
 
+from tests.support.entries import daemon_entry
 from willowpost.common.clock import MILLI
 from willowpost.common.events import Tick
 from willowpost.common.plan import Plan
-from willowpost.node.leaver import Leave, Leaver, Spans, Stage
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.graceful_shutdown import (
+    GracefulShutdown,
+    ShutdownRequested,
+    ShutdownTimeouts,
+    Stage,
+)
+from willowpost.node.node_state import DaemonDescriptor, NodeState
+from willowpost.state.operations import DrainDaemon, RemoveDaemon
 from willowpost.state.tables import Tables
 
-CARD = Card("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
+DESCRIPTOR = DaemonDescriptor("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
 
 
 class Asker:
     def __init__(self):
-        self.ops = []
+        self.operations = []
 
     def step(self, event, now):
-        self.ops += [op["op"] for op in event.ops]
+        self.operations += event.operations
         return Plan()
 
 
 class Stages(unittest.TestCase):
     def setUp(self):
-        self.node_state = NodeState(CARD, Tables(daemons={CARD.id: {"incarnation": 7}}))
+        self.node_state = NodeState(
+            DESCRIPTOR, Tables(daemons={DESCRIPTOR.id: daemon_entry(DESCRIPTOR.id, incarnation=7)})
+        )
         self.command_client = Asker()
-        self.leaver = Leaver(
+        self.shutdown = GracefulShutdown(
             self.node_state,
             self.command_client,
             type("Joins", (), {"leaving": False})(),
-            Spans(2500 * MILLI, 2000 * MILLI, 600 * MILLI),
+            ShutdownTimeouts(2500 * MILLI, 2000 * MILLI, 600 * MILLI),
         )
         self.in_flight = 0
-        self.leaver.in_flight = lambda: self.in_flight
-        self.leaver.step(Leave(), 0)
+        self.shutdown.in_flight = lambda: self.in_flight
+        self.shutdown.step(ShutdownRequested(), 0)
 
     def until(self, stage):
         return next(
             now
             for now in range(0, 20_000, 20)
-            if self.leaver.step(Tick(), now * MILLI) and self.leaver.stage is stage
+            if self.shutdown.step(Tick(), now * MILLI) and self.shutdown.stage is stage
         )
 
     def test_idle_it_is_gone_soon_after_the_drain(self):
-        self.assertTrue(self.node_state.draining)
+        self.assertTrue(self.node_state.is_draining)
         self.assertEqual(
             (2500, 2600, 3200),
             (self.until(Stage.FINISHING), self.until(Stage.LEAVING), self.until(Stage.GONE)),
         )
-        self.assertEqual(["drain", "leave"], self.command_client.ops)
+        self.assertEqual(
+            [DrainDaemon(DESCRIPTOR.id, 7), RemoveDaemon(DESCRIPTOR.id, 7)],
+            self.command_client.operations,
+        )
 
     def test_whoever_has_left_the_log_need_not_wait(self):
         self.until(Stage.LEAVING)
         self.node_state.tables = Tables()
-        self.leaver.step(Tick(), 2700 * MILLI)
-        self.assertIs(Stage.GONE, self.leaver.stage)
+        self.shutdown.step(Tick(), 2700 * MILLI)
+        self.assertIs(Stage.GONE, self.shutdown.stage)
 
     def test_a_request_in_flight_is_waited_for_and_no_longer_than_the_spans(self):
         self.in_flight = 1
--- a/tests/platform_adapter/test_configuration_translation.py
+++ b/tests/platform_adapter/test_configuration_translation.py
@@ -23,7 +23,7 @@
 from willowpost.configuration.routes import routes_of
 from willowpost.registry.calls.configurations import NumberedCall
 from willowpost.shell.web import Answer, Call
-from willowpost.state.configuration_changes import VERSION_MOST
+from willowpost.state.configuration_changes import MAX_VERSION
 
 SETTINGS = """
 node_name: "edge-north-1"
@@ -196,7 +196,7 @@
             self.path,
             SettingsReader("proxy"),
             place,
-            type("Logs", (), {"say": lambda self, *a, **k: said.append(a)})(),
+            type("Logger", (), {"log": lambda self, *a, **k: said.append(a)})(),
         )
         self.write(
             SETTINGS.replace("10.1.0.39", "10.1.0.77").replace('zone: "north"', 'zone: "south"')
@@ -330,7 +330,7 @@
             found = translated(value)
             self.assertTrue(found.is_err(), place)
             self.assertEqual(place, found.unwrap_err()[0]["place"])
-        for version in (None, "7", 7.0, True, VERSION_MOST + 1):
+        for version in (None, "7", 7.0, True, MAX_VERSION + 1):
             found = translated({**configuration(), "version": version})
             self.assertEqual("version", found.unwrap_err()[0]["place"], version)
         for timeout in ("0s", 0, "0.0ms", "soon", "-5ms", [], True):
@@ -415,7 +415,7 @@
             {"limits": {"header_timeout": "0ms"}},
             {"version": 0},
             {"version": -4},
-            {"version": VERSION_MOST},
+            {"version": MAX_VERSION},
             {"extra": []},
         ):
             self.configuration({**configuration(), **more})
@@ -529,7 +529,7 @@
             ("POST", "/v1/zones/*/restore"),
             ("POST", "/v1/purges"),
         ]
-        said = type("Logs", (), {"say": lambda self, *a, **k: None})()
+        said = type("Logger", (), {"log": lambda self, *a, **k: None})()
         self.words = ControlWords(
             [
                 (method, path, 0, lambda call, path=path: self._hear(path, call))
--- a/tests/proxy/admission/test_owner_restart_fencing.py
+++ b/tests/proxy/admission/test_owner_restart_fencing.py
@@ -4,17 +4,26 @@
 from types import SimpleNamespace
 from unittest.mock import patch
 
+from tests.support.entries import daemon_entry
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import Follower
-from willowpost.node.node_state import LEASE, Card, NodeState
+from willowpost.node.node_state import LEASE, DaemonDescriptor, NodeState
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenOwner
 from willowpost.proxy.admission.quota_shares import FENCE_WAIT, QuotaShareOwner
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import ServiceCard
-from willowpost.state.apply.operators import own
+from willowpost.state.apply import apply_operation
+from willowpost.state.entries import Ownership
+from willowpost.state.operations import AcquireOwnership
+from willowpost.state.results import OwnershipAcquired
 from willowpost.state.tables import Tables
-from willowpost.wire.messages import AdmissionTokenAsk, AdmissionTokenTell, Poll, QuotaShareAsk
+from willowpost.wire.messages import (
+    AdmissionTokenRequest,
+    AdmissionTokenResponse,
+    Poll,
+    QuotaShareRequest,
+)
 
 FENCE = 3
 CLIENT = SimpleNamespace()  # a command client that nobody may need here
@@ -22,14 +31,14 @@
 
 def owner(rate=1000.0):
     """A life that the log named owner of the service's quota before it was restarted."""
-    card = Card("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
+    descriptor = DaemonDescriptor("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
     tables = Tables(
         slot=9,
         epoch=1,
-        daemons={"p/proxy": {"id": "p/proxy", "kind": "proxy", "state": "up", "incarnation": 7}},
-        fences={"quota_share/g": {"owner": "p/proxy", "fence": FENCE}},
+        daemons={"p/proxy": daemon_entry("p/proxy", kind="proxy", incarnation=7)},
+        ownerships={"quota_share/g": Ownership("p/proxy", FENCE)},
     )
-    node_state = ProxyState(card, tables)
+    node_state = ProxyState(descriptor, tables)
     service = ServiceCard(rate, 10, ("p/proxy",), {"p/proxy": 1.0}, ())
     node_state.snapshot = SimpleNamespace(services={"g": service}, origins={})
     return node_state, QuotaShareOwner(node_state, CLIENT)
@@ -37,7 +46,7 @@
 
 class QuotaShares(unittest.TestCase):
     def granted(self, held, now, fence=FENCE):
-        return held.step(Received("q:1", QuotaShareAsk(1, "g", fence, 9000)), now).sends
+        return held.step(Received("q:1", QuotaShareRequest(1, "g", fence, 9000)), now).sends
 
     def restarted(self):
         node_state, held = owner()
@@ -51,28 +60,28 @@
 
     def test_fresh_it_waits_for_what_its_former_life_granted(self):
         node_state, held = self.restarted()
-        node_state.whole_as_of(SECOND + FENCE_WAIT)
+        node_state.confirm_as_of(SECOND + FENCE_WAIT)
         self.assertEqual([], self.granted(held, SECOND + FENCE_WAIT - MILLI))
         self.assertEqual(1, len(self.granted(held, SECOND + FENCE_WAIT)))
 
     def test_under_another_fence_or_after_a_freeze_it_grants_nothing(self):
         node_state, held = self.restarted()
-        node_state.whole_as_of(10 * SECOND)
+        node_state.confirm_as_of(10 * SECOND)
         self.assertEqual([], self.granted(held, 10 * SECOND, FENCE - 1))
         self.assertEqual(1, len(self.granted(held, 10 * SECOND + LEASE)))
         self.assertEqual([], self.granted(held, 10 * SECOND + LEASE + 1))
 
     def test_without_the_lease_it_would_grant_by_old_tables(self):
         _, held = self.restarted()
-        with patch.object(NodeState, "ruling", lambda self, now: True):
+        with patch.object(NodeState, "holds_ownership_lease", lambda self, now: True):
             self.assertEqual(1, len(self.granted(held, 60 * SECOND)))
 
 
 class AdmissionTokens(unittest.TestCase):
     def given(self, tokens, now, fence=FENCE):
-        ask = AdmissionTokenAsk(1, "g", fence, "")
+        ask = AdmissionTokenRequest(1, "g", fence, "")
         ((_, answer),) = tokens.step(Received("q:1", ask), now).sends
-        self.assertIsInstance(answer, AdmissionTokenTell)
+        self.assertIsInstance(answer, AdmissionTokenResponse)
         return answer.given
 
     def test_tokens_come_under_the_same_guards(self):
@@ -80,33 +89,36 @@
         held.step(Tick(), SECOND)
         tokens = AdmissionTokenOwner(node_state, held)
         self.assertFalse(self.given(tokens, 60 * SECOND), "no read of this life")
-        node_state.whole_as_of(60 * SECOND)
+        node_state.confirm_as_of(60 * SECOND)
         self.assertFalse(self.given(tokens, 60 * SECOND, FENCE - 1), "another fence")
         self.assertTrue(self.given(tokens, 60 * SECOND))
         self.assertFalse(self.given(tokens, 64 * SECOND), "the lease has run out")
-        node_state.whole_as_of(64 * SECOND)
+        node_state.confirm_as_of(64 * SECOND)
         self.assertTrue(self.given(tokens, 64 * SECOND))
 
 
 class OtherDuties(unittest.TestCase):
     def test_a_source_of_updates_is_not_fresh_before_a_read_of_its_own(self):
         """Restarted with old tables, it tells them, but lends nobody a lease."""
-        card = Card("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
-        node_state = NodeState(card, Tables(slot=9, epoch=1))
+        descriptor = DaemonDescriptor("p/proxy", "proxy", "edge", "p", "z", "p:1", "", 7)
+        node_state = NodeState(descriptor, Tables(slot=9, epoch=1))
         source = Follower(node_state, [])
         told = []
         for now in (SECOND, 2 * SECOND):
             ((_, update),) = source.step(Received("q:1", Poll(1, 9)), now).sends
             told.append((update.fresh, update.age))
-            node_state.whole_as_of(SECOND)
+            node_state.confirm_as_of(SECOND)
         self.assertEqual([(False, 0), (True, SECOND)], told)
 
     def test_a_claim_under_a_fence_that_moved_on_is_refused(self):
-        tables = Tables(slot=9, epoch=1, fences={"k": {"owner": "a", "fence": FENCE}})
-        after, answer = own(tables, {"op": "own", "key": "k", "owner": "b", "fence": FENCE - 1})
-        self.assertEqual((tables, False), (after, answer["ok"]))
-        after, answer = own(tables, {"op": "own", "key": "k", "owner": "b", "fence": FENCE})
-        self.assertEqual(("b", FENCE + 1), (after.fences["k"]["owner"], answer["fence"]))
+        tables = Tables(slot=9, epoch=1, ownerships={"k": Ownership("a", FENCE)})
+        after, result = apply_operation(tables, AcquireOwnership("k", "b", FENCE - 1))
+        self.assertEqual((tables, False), (after, result.is_accepted))
+        after, result = apply_operation(tables, AcquireOwnership("k", "b", FENCE))
+        self.assertEqual(
+            (Ownership("b", FENCE + 1), OwnershipAcquired(FENCE + 1)),
+            (after.ownerships["k"], result),
+        )
 
 
 if __name__ == "__main__":
--- a/tests/shell/test_single_threaded_daemons.py
+++ b/tests/shell/test_single_threaded_daemons.py
@@ -9,7 +9,7 @@
 import gevent
 from willowpost.shell.mesh import Mesh
 from willowpost.shell.sized_queue import inbox as make_inbox
-from willowpost.wire.messages import Beat
+from willowpost.wire.messages import OriginHeartbeat
 
 def threads():
     return len(os.listdir("/proc/self/task"))
@@ -21,8 +21,8 @@
     mesh.address = f"127.0.0.1:{mesh.server.server_port}"
 """
 MESH = """
-first.send(second.address, Beat("o", 1))
-assert inbox.get(timeout=10).message == Beat("o", 1)
+first.send(second.address, OriginHeartbeat("o", 1))
+assert inbox.get(timeout=10).message == OriginHeartbeat("o", 1)
 assert threads() == 1, threads()
 """
 SETTINGS_WATCH = """
--- a/tests/support/outside_views.py
+++ b/tests/support/outside_views.py
@@ -24,7 +24,7 @@
 from willowpost.configuration.routes import routes_of
 from willowpost.drill.deployment import Deployment
 from willowpost.history.codec import read_history, write_history
-from willowpost.node.node_state import Card, NodeState
+from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.proxy.figures import ProxyFigures
 from willowpost.registry.status import StatusPage
 from willowpost.shell.metrics import MetricsPage
@@ -123,7 +123,7 @@
     """The status page of a registry with these tables."""
 
     class Node:
-        node_state = NodeState(Card("r", "registry", "core", "m", "a", "r:1", "r:2", 5))
+        node_state = NodeState(DaemonDescriptor("r", "registry", "core", "m", "a", "r:1", "r:2", 5))
 
     Node.node_state.tables = tables_from(text)
     Node.node_state.fresh_as_of = NOW - 250_000
--- a/tests/support/served.py
+++ b/tests/support/served.py
@@ -12,7 +12,7 @@
 
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.configuration.routes import RouteTable, routes_of
-from willowpost.node.node_state import Card
+from willowpost.node.node_state import DaemonDescriptor
 from willowpost.proxy.admission.buckets import Allowance, Ramp
 from willowpost.proxy.admission.budget import RetryBudget
 from willowpost.proxy.cache.store import CacheStore
@@ -27,6 +27,7 @@
 from willowpost.proxy.routing.snapshot import OriginCard, RoutingSnapshot, ServiceCard
 from willowpost.proxy.routing.tries import Tries
 from willowpost.shell.web import WebServer
+from willowpost.state.entries import Ownership
 from willowpost.state.tables import Tables
 
 CONFIGURATION = {
@@ -120,7 +121,7 @@
         assert ConfigurationChecker().check_value(configuration).is_ok()
         self.clock = HandClock()
         self.node_state = ProxyState(
-            Card("p", "proxy", role, "p", "a", "127.0.0.1:1", "127.0.0.1:1", 1),
+            DaemonDescriptor("p", "proxy", role, "p", "a", "127.0.0.1:1", "127.0.0.1:1", 1),
             Tables(slot=5, epoch=1),
         )
         self.node_state.fresh_as_of = self.clock.now()
@@ -130,7 +131,7 @@
         self.pool = ConnectionPool(self.clock)
         self.set_origins(origins)
         self.node_state.tables = Tables(
-            slot=5, epoch=1, fences={"quota_share/g": {"owner": "p", "fence": 1}}
+            slot=5, epoch=1, ownerships={"quota_share/g": Ownership("p", 1)}
         )
         self.node_state.grants = {"g": Grant(1000.0, self.clock.now() + 10**12, 1)}
         self.allowance = Allowance(self.node_state)
@@ -145,17 +146,17 @@
             self.stats,
         )
         carrier = Carrier(self.node_state, self.cache, self.clock, tries, self.stats)
-        logs = type(
-            "Quiet", (), {"say": lambda self, *a, **k: self.held.append((a, k)), "held": []}
+        logger = type(
+            "Quiet", (), {"log": lambda self, *a, **k: self.held.append((a, k)), "held": []}
         )()
-        self.logs = logs
+        self.logger = logger
         self.front = Front(
             self.node_state,
             self.clock,
             RequestPlanner(self.node_state, self.cache, self.clock),
             carrier,
             self.stats,
-            logs,
+            logger,
         )
         self.web = WebServer("127.0.0.1:0", self.front, ProxyHandler)
         self.web.start()
--- a/tests/system/test_large_configurations.py
+++ b/tests/system/test_large_configurations.py
@@ -10,6 +10,7 @@
 from willowpost.configuration.checker import BYTES_MOST, ConfigurationChecker
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
+from willowpost.state.operations import PurgeCache
 
 
 def large(routes, depth=1):
@@ -69,7 +70,7 @@
         self.assertTrue(
             world.until(
                 lambda: (
-                    all(node_state.voter for _, node_state in world.node_states())
+                    all(node_state.is_voter for _, node_state in world.node_states())
                     and world.seats["e0"].node.proxy.snapshot.version == world.version
                 ),
                 seconds(15),
@@ -113,8 +114,8 @@
             for number in range(900):
                 world.operate(
                     number % 5,
-                    {"op": "purge", "kind": "item", "host": "*", "path": f"/art/{second}-{number}"},
-                    lambda answer: None,
+                    PurgeCache(kind="item", host="*", path=f"/art/{second}-{number}"),
+                    lambda result: None,
                 )
             world.run(seconds(1))
             sizes.append(len(world.seats["r0"].node.registry.tables.text()))
--- a/tests/system/test_planned_restarts.py
+++ b/tests/system/test_planned_restarts.py
@@ -6,6 +6,8 @@
 import unittest
 from unittest.mock import patch
 
+from tests.support.draining_origins import make_with_draining
+from willowpost.proxy.routing.snapshot import SnapshotMaker
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
 
@@ -53,9 +55,9 @@
 
     def test_without_the_drain_requests_in_flight_are_dropped(self):
         with (
-            patch("willowpost.node.leaver.DRAIN_SPAN", 0),
-            patch("willowpost.node.leaver.FINISH_SPAN", 0),
-            patch("willowpost.node.leaver.LEAVE_SPAN", 0),
+            patch("willowpost.node.graceful_shutdown.DRAIN_SPAN", 0),
+            patch("willowpost.node.graceful_shutdown.FINISH_SPAN", 0),
+            patch("willowpost.node.graceful_shutdown.LEAVE_SPAN", 0),
         ):
             world = rush()
             self.restart_all(world, ["e0", "e1", "e2"])
@@ -84,7 +86,7 @@
     def test_without_heed_of_the_drain_what_is_in_flight_is_lost(self):
         world = rush()
         with (
-            patch("willowpost.proxy.routing.snapshot.FORCE", {"cold", "warm", "draining"}),
+            patch.object(SnapshotMaker, "make", make_with_draining),
             self.assertRaises(AssertionError),
         ):
             self.release(world)
