--- a/src/willowpost/consensus/replica/catchup.py
+++ b/src/willowpost/consensus/replica/catchup.py
@@ -35,7 +35,7 @@
     def step(self, event, now: int) -> Plan:
         """Handle one event.
 
-        Answers a `CatchupRequest`, and a resent ballot state of a slot that is decided here; applies
+        Answers a `CatchupRequest`, and a resent ballot state of a decided slot; applies
         a `CatchupResponse`; records a `SyncedIndex`. On a tick it reports the own synced index and
         asks for what is missing.
         """
--- a/src/willowpost/state/tables.py
+++ b/src/willowpost/state/tables.py
@@ -60,7 +60,7 @@
     previous_voters: PreviousVoters | None = None
     daemons: dict[str, DaemonEntry] = field(default_factory=dict)
     suspicions: dict[str, frozenset[str]] = field(default_factory=dict)
-    configuration: ActiveConfiguration = ActiveConfiguration()
+    configuration: ActiveConfiguration = field(default_factory=ActiveConfiguration)
     origins: dict[str, OriginEntry] = field(default_factory=dict)
     address_bindings: dict[str, AddressBinding] = field(default_factory=dict)
     purges: tuple[Purge, ...] = ()
