--- a/src/willowpost/consensus/coin.py
+++ b/src/willowpost/consensus/coin.py
@@ -1,4 +1,4 @@
-"""The common coin: a pseudo-random bit that every replica computes without messages."""
+"""The common coin of Rabia (section 4): a pseudo-random bit that needs no messages."""
 
 from willowpost.common.digest import blake2b
 
--- a/src/willowpost/consensus/log_size.py
+++ b/src/willowpost/consensus/log_size.py
@@ -1,34 +1,37 @@
-"""How many bytes decisions take, and the parts of a log that fit into so many."""
+"""How many bytes decisions take, and the runs of a log that fit into a limit."""
 
 from collections.abc import Iterable
 
 from willowpost.wire.messages import Decision
 
-DECISION_OVERHEAD = 256  # bytes of a decision beside its command's body, rounded up
+DECISION_OVERHEAD_BYTES = 256  # of a decision besides its command's body, rounded up
 
 
-def size_of(decision: Decision) -> int:
-    """Bytes that the decision takes in memory, on the wire or on disk, roughly."""
-    return DECISION_OVERHEAD + (len(decision.command.body) if decision.command else 0)
+def decision_bytes(decision: Decision) -> int:
+    """Return about how many bytes the decision takes in memory, on the wire or on disk."""
+    body_bytes = len(decision.command.body) if decision.command else 0
+    return DECISION_OVERHEAD_BYTES + body_bytes
 
 
-def leading(decisions: Iterable[Decision], most_bytes: int) -> tuple[Decision, ...]:
-    """Return the longest prefix that fits into `most_bytes`, but at least one decision."""
-    held: list[Decision] = []
-    total = 0
+def longest_prefix(decisions: Iterable[Decision], max_bytes: int) -> tuple[Decision, ...]:
+    """Return the longest prefix that fits into `max_bytes`, but at least one decision."""
+    prefix: list[Decision] = []
+    total_bytes = 0
     for decision in decisions:
-        total += size_of(decision)
-        if held and total > most_bytes:
+        total_bytes += decision_bytes(decision)
+        if prefix and total_bytes > max_bytes:
             break
-        held.append(decision)
-    return tuple(held)
+        prefix.append(decision)
+    return tuple(prefix)
 
 
-def trailing(decisions: tuple[Decision, ...], most: int, most_bytes: int) -> tuple[Decision, ...]:
-    """Return the longest suffix of at most `most` decisions that fits into `most_bytes`."""
-    total = 0
+def longest_suffix(
+    decisions: tuple[Decision, ...], max_decisions: int, max_bytes: int
+) -> tuple[Decision, ...]:
+    """Return the longest suffix of at most `max_decisions` that fits into `max_bytes`."""
+    total_bytes = 0
     for count, decision in enumerate(reversed(decisions)):
-        total += size_of(decision)
-        if count == most or total > most_bytes:
+        total_bytes += decision_bytes(decision)
+        if count == max_decisions or total_bytes > max_bytes:
             return decisions[len(decisions) - count :]
     return decisions
--- a/src/willowpost/consensus/replica/barrier.py
+++ b/src/willowpost/consensus/replica/barrier.py
@@ -1,30 +1,21 @@
-"""The opening barrier of an epoch: when a change of the voters counts as finished.
+"""The opening barrier of an epoch, and which slots are safe on disk.
 
 A change of the voters that is decided in slot s takes effect in slot s + 1, the epoch's *first
 slot*. The barrier is passed when
 
 - n - f of the voters before the change hold every slot up to s on disk, so that a quorum read
-  under the former epoch meets one that names the change, and
+  under the previous epoch meets one that names the change, and
 - n - f of the voters after the change hold every slot up to s on disk, so that the members that
   the change removed, and any f of the new ones, may be lost at once.
 
 Both count synced indexes by identity; an identity is lost with its disk, so no index is ever
-counted for a disk that came back empty.
+counted for a disk that came back empty. See docs/design/rabia.md, exception 1.
 """
 
-from __future__ import annotations
-
 from collections.abc import Iterable, Mapping
-from typing import TYPE_CHECKING
 
-from willowpost.common.events import Tick
-from willowpost.common.plan import Plan
+from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.thresholds import Thresholds
-from willowpost.state.tables import Tables
-from willowpost.wire.messages import SyncedIndex
-
-if TYPE_CHECKING:  # the replica state itself asks whether the barrier is passed
-    from willowpost.consensus.replica.replica_state import ReplicaState
 
 
 def quorum_index(
@@ -32,38 +23,40 @@
     synced_indexes: Mapping[str, int],
     thresholds: type[Thresholds] = Thresholds,
 ) -> int:
-    """The slot below which n - f of these n identities hold everything on disk."""
-    held = sorted((synced_indexes.get(identity, 0) for identity in identities), reverse=True)
-    needed = thresholds(len(held)).quorum
-    return held[needed - 1] if 0 < needed <= len(held) else 0
-
+    """Return the slot below which n - f of these n identities hold everything on disk."""
+    indexes = sorted((synced_indexes.get(identity, 0) for identity in identities), reverse=True)
+    quorum = thresholds(len(indexes)).quorum
+    return indexes[quorum - 1] if 0 < quorum <= len(indexes) else 0
 
-def first_slot(tables: Tables) -> int:
-    """The first slot of the epoch in force; 0 in the epoch that the bootstrap members founded."""
-    return tables.previous_voters.slot + 1 if tables.previous_voters else 0
 
+def safe_slot(node_state: ReplicaState) -> int:
+    """Return the slot below which everything is synced on n - f voters.
 
-def previous_identities(tables: Tables) -> tuple[str, ...]:
-    """The voters of the epoch before the one in force; none in the first epoch."""
-    return tables.previous_voters.identities() if tables.previous_voters else ()
+    It stays so if the replaced voters are lost. Until the barrier of the epoch in force is passed,
+    n - f of the previous voters must hold it as well: a reader that does not know of the change
+    reads from those.
+    """
+    synced_indexes, thresholds = node_state.synced_indexes, node_state.thresholds
+    index = quorum_index(node_state.voter_addresses, synced_indexes, thresholds)
+    if is_passed(node_state):
+        return index
+    previous = node_state.tables.previous_voter_identities()
+    return min(index, quorum_index(previous, synced_indexes, thresholds))
 
 
 def holds_both_quorums(node_state: ReplicaState) -> bool:
-    """Whether n - f of the former and n - f of the new voters hold the change on disk."""
+    """Whether n - f of the previous and n - f of the new voters hold the change on disk."""
+    tables = node_state.tables
     return all(
         quorum_index(identities, node_state.synced_indexes, node_state.thresholds)
-        >= first_slot(node_state.tables)
-        for identities in (previous_identities(node_state.tables), node_state.voter_addresses)
+        >= tables.epoch_first_slot()
+        for identities in (tables.previous_voter_identities(), node_state.voter_addresses)
     )
 
 
-def is_beyond(node_state: ReplicaState) -> bool:
-    """Whether a voter of the epoch in force has said that it holds the epoch's first slot."""
-    begins = first_slot(node_state.tables)
-    return any(
-        node_state.synced_indexes.get(identity, 0) > begins
-        for identity in node_state.voter_addresses
-    )
+def is_first_slot_decided(node_state: ReplicaState) -> bool:
+    """Whether a voter of the epoch in force has reported that it holds the epoch's first slot."""
+    return node_state.highest_synced_index() > node_state.tables.epoch_first_slot()
 
 
 def is_passed(node_state: ReplicaState) -> bool:
@@ -74,45 +67,11 @@
     n - f such voters.
     """
     tables = node_state.tables
-    begins = first_slot(tables)
     return (
         tables.previous_voters is None
         or node_state.passed_epoch >= tables.epoch
-        or tables.slot > begins
+        or tables.slot > tables.epoch_first_slot()
         or any(identity != node_state.member.identity for identity in node_state.ballot_states)
-        or is_beyond(node_state)
+        or is_first_slot_decided(node_state)
         or holds_both_quorums(node_state)
     )
-
-
-class FormerVoter:
-    """Lets a replaced voter report its synced index until the new epoch has begun.
-
-    The new voters may need it for the quorum of the former ones, and a single report may be lost.
-    It stops when it hears that a voter is beyond the first slot. Voters report the same in
-    `Catchup`.
-    """
-
-    def __init__(self, node_state: ReplicaState):
-        self.node_state = node_state
-        self.sent_at = 0
-
-    def step(self, event, now: int) -> Plan:
-        """On a tick: send the own synced index to all voters if they may still need it."""
-        plan, node_state = Plan(), self.node_state
-        due = now - self.sent_at >= node_state.tuning.synced_index
-        if isinstance(event, Tick) and due and self._may_be_needed():
-            self.sent_at = now
-            index = SyncedIndex(node_state.member.identity, node_state.tables.slot)
-            plan.sends += [(address, index) for address in node_state.other_addresses()]
-        return plan
-
-    def _may_be_needed(self) -> bool:
-        node_state = self.node_state
-        tables = node_state.tables
-        return (
-            not node_state.is_voter
-            and tables.slot == first_slot(tables)
-            and node_state.member.identity in previous_identities(tables)
-            and not is_beyond(node_state)
-        )
--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -2,17 +2,22 @@
 
 import json
 from dataclasses import dataclass
+from typing import Any
 
 from willowpost.common.clock import SECOND
 from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.common.plan import Plan
-from willowpost.consensus.replica.records import bootstrap_promise_record, founding_record
+from willowpost.consensus.replica.records import (
+    BootstrapPromiseRecord,
+    encode_record,
+    founding_record,
+)
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.state.codec import MEMBER
 from willowpost.wire.messages import CatchupRequest, Hello, Member
 
-# µs; a bootstrapped store without a successful quorum read for so long asks its seeds who votes
-WITHOUT_SOURCE_AFTER = 3 * SECOND
+# A bootstrapped store without a successful quorum read for so long asks its seeds who votes.
+RECONNECT_AFTER_US = 3 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,12 +36,26 @@
     max_voters: int = 0
 
 
+DEFAULT_POLICY = VoterPolicy()
+
+
 class Bootstrap:
     """Bootstraps the fleet once, and reconnects a store that no voter answers.
 
     A store makes one bootstrap promise, for one set of members, and syncs it to disk before sending
     it. The fleet is bootstrapped only when every member of the set has promised the same set. A
     store that may not bootstrap sends no claim, so it is in no set.
+
+    Attributes:
+        seeds: addresses of the seeds.
+        size: the number of bootstrap members.
+        claims: the stores that say for themselves that they are empty, by identity.
+        promises: the bootstrap promises received, by identity.
+        known_addresses: stores to greet, of which others told; only a store's own claim counts for
+            the bootstrap.
+        bootstrapped_addresses: the voters of a fleet that is bootstrapped already.
+        sent_at: when the last greetings left; µs, own clock; -1: none left.
+        request_count: of the requests to bootstrapped voters.
     """
 
     def __init__(
@@ -44,154 +63,165 @@
         node_state: ReplicaState,
         seeds: tuple[str, ...],
         size: int,
-        rights: VoterPolicy = VoterPolicy(),
+        policy: VoterPolicy = DEFAULT_POLICY,
     ):
         self.node_state = node_state
-        self.rights = rights
+        self.policy = policy
         self.seeds = seeds
         self.size = size
         self.claims: dict[str, Member] = {node_state.member.identity: node_state.member}
-        self.bootstrap_promises: dict[str, tuple] = {}
-        # addresses to greet; only first-hand claims may found
-        self.heard_of: set[str] = set()
+        self.promises: dict[str, tuple[str, ...]] = {}
+        self.known_addresses: set[str] = set()
         self.bootstrapped_addresses: set[str] = set()
         self.sent_at = -1
-        self.round = 0
+        self.request_count = 0
 
-    def step(self, event, now: int) -> Plan:
+    def step(self, event: Any, now: int) -> Plan:
         """Handle one event.
 
-        Until the fleet is bootstrapped, a `Hello` goes to the seeds and to all addresses heard of,
-        every `pace.hello`. Afterwards one goes to the seeds whenever no quorum read has succeeded
-        for WITHOUT_SOURCE_AFTER.
+        Until the fleet is bootstrapped, a `Hello` goes to the seeds and to all known addresses,
+        every `hello_interval_us`. Afterwards one goes to the seeds whenever no quorum read has
+        succeeded for RECONNECT_AFTER_US.
         """
         plan = Plan()
         match event:
-            case SettingsChanged(seeds=seeds, pace=pace):
-                self.seeds, self.node_state.tuning = tuple(seeds), pace or self.node_state.tuning
+            case SettingsChanged(seeds=seeds, pace=tuning):
+                self.seeds = tuple(seeds)
+                self.node_state.tuning = tuning or self.node_state.tuning
             case Received(source, Hello() as hello):
-                self._hear(source, hello, plan)
-            case Tick() if (
-                self.node_state.is_bootstrapped
-                and self._without_source(now)
-                and now - self.sent_at >= WITHOUT_SOURCE_AFTER
-            ):
-                self.sent_at = now
-                plan.sends += [
-                    (seed, self._hello(False))
-                    for seed in self.seeds
-                    if seed != self.node_state.member.address
-                ]
-            case Tick() if not self.node_state.is_bootstrapped and (
-                self.sent_at < 0 or now - self.sent_at >= self.node_state.tuning.hello
-            ):
-                self.sent_at = now
-                self._say(now, plan)
+                self._receive_hello(source, hello, plan)
+            case Tick() if self.node_state.is_bootstrapped:
+                self._reconnect_if_due(now, plan)
+            case Tick():
+                self._greet_if_due(now, plan)
         if not self.node_state.is_bootstrapped:
-            self._found(plan)
+            self._try_to_bootstrap(plan)
         return plan
 
-    def _may_bootstrap(self) -> bool:
-        """Whether this store may bootstrap; a promise once made stays valid."""
-        return (
-            self.rights.may_bootstrap and self._seat_of(self.node_state.member.address)
-        ) or bool(self.node_state.bootstrap_promise)
+    # Greetings
 
-    def _seat_of(self, address) -> bool:
-        """Whether the store at `address` may be a bootstrap member.
+    def _reconnect_if_due(self, now: int, plan: Plan) -> None:
+        fresh_as_of = self.node_state.fresh_as_of
+        is_stale = fresh_as_of is None or now - fresh_as_of > RECONNECT_AFTER_US
+        if not is_stale or now - self.sent_at < RECONNECT_AFTER_US:
+            return
+        self.sent_at = now
+        plan.sends += [
+            (seed, self._hello(is_answer=False))
+            for seed in self.seeds
+            if seed != self.node_state.member.address
+        ]
 
-        With more seeds than bootstrap members, two sets of seeds could otherwise bootstrap a fleet
-        each.
-        """
-        return (
-            not self.rights.bootstrap_from_seeds or address in sorted(set(self.seeds))[: self.size]
-        )
+    def _greet_if_due(self, now: int, plan: Plan) -> None:
+        interval = self.node_state.tuning.hello_interval_us
+        if self.sent_at >= 0 and now - self.sent_at < interval:
+            return
+        self.sent_at = now
+        addresses = {
+            *self.seeds,
+            *self.known_addresses,
+            *(claim.address for claim in self.claims.values()),
+            *self.bootstrapped_addresses,
+        }
+        plan.sends += [
+            (address, self._hello(is_answer=False))
+            for address in sorted(addresses - {self.node_state.member.address})
+        ]
+        self._request_tables(now, plan)
 
-    def _hello(self, answer):
+    def _request_tables(self, now: int, plan: Plan) -> None:
+        """Request a snapshot from the bootstrapped fleet, if there is one.
+
+        Each time from another voter: the first may be the very one that was lost.
+        """
+        sources = sorted(self.bootstrapped_addresses)
+        self.request_count += 1
+        incoming = self.node_state.incoming_snapshot
+        if sources and not incoming.is_progressing(now):
+            source = sources[self.request_count % len(sources)]
+            plan.send(source, CatchupRequest(0, blank=True, snapshot=incoming.request()))
+
+    def _hello(self, is_answer: bool) -> Hello:
         node_state = self.node_state
         if not node_state.is_bootstrapped and not self._may_bootstrap():
-            return Hello(answer=answer)
-        known = node_state.tables.voters or tuple(self.claims.values())
+            return Hello(answer=is_answer)
         return Hello(
             node_state.member.identity,
             node_state.member.name,
             node_state.member.zone,
             node_state.member.address,
             node_state.is_bootstrapped,
-            answer,
-            known,
+            is_answer,
+            node_state.tables.voters or tuple(self.claims.values()),
             node_state.bootstrap_promise,
         )
 
-    def _say(self, now, plan):
-        addresses = {
-            *self.seeds,
-            *self.heard_of,
-            *(claim.address for claim in self.claims.values()),
-            *self.bootstrapped_addresses,
-        }
-        plan.sends += [
-            (address, self._hello(False))
-            for address in sorted(addresses - {self.node_state.member.address})
-        ]
-        # each time another voter: the first may be the very one that was lost
-        tellers = sorted(self.bootstrapped_addresses)
-        self.round += 1
-        if tellers and not self.node_state.incoming_snapshot.is_progressing(now):
-            request = self.node_state.incoming_snapshot.request()
-            plan.send(
-                tellers[self.round % len(tellers)], CatchupRequest(0, blank=True, snapshot=request)
-            )
-
-    def _hear(self, source, hello, plan):
-        node_state = self.node_state
+    def _receive_hello(self, source: str, hello: Hello, plan: Plan) -> None:
         if not hello.answer:
-            plan.send(source, self._hello(True))
-        if hello.bootstrapped and node_state.is_bootstrapped:
-            # The voters known here are gone, or it would not have asked; the sender's are newer.
-            strangers = {member.address for member in hello.known} - {
-                node_state.member.address,
-                *node_state.voter_addresses.values(),
-            }
-            plan.sends += [
-                (address, CatchupRequest(node_state.tables.slot)) for address in sorted(strangers)
-            ]
+            plan.send(source, self._hello(is_answer=True))
+        own_address = self.node_state.member.address
+        if hello.bootstrapped and self.node_state.is_bootstrapped:
+            self._request_newer_decisions(hello, plan)
         elif hello.bootstrapped:
-            self.bootstrapped_addresses = {member.address for member in hello.known} - {
-                node_state.member.address
-            }
-        elif hello.identity and self._seat_of(hello.address):
-            self._claim(Member(hello.identity, hello.name, hello.zone, hello.address))
+            voters = {member.address for member in hello.known}
+            self.bootstrapped_addresses = voters - {own_address}
+        elif hello.identity and self._may_be_bootstrap_member(hello.address):
+            self._add_claim(Member(hello.identity, hello.name, hello.zone, hello.address))
         if hello.promise:
-            self.bootstrap_promises[hello.identity] = hello.promise
-        self.heard_of |= {member.address for member in hello.known}
+            self.promises[hello.identity] = hello.promise
+        self.known_addresses |= {member.address for member in hello.known}
+
+    def _request_newer_decisions(self, hello: Hello, plan: Plan) -> None:
+        """Request decisions from the voters that the sender knows and this store does not.
+
+        The voters known here are gone, or this store would not have greeted; the sender's are
+        newer.
+        """
+        node_state = self.node_state
+        known = {node_state.member.address, *node_state.voter_addresses.values()}
+        unknown = {member.address for member in hello.known} - known
+        plan.sends += [
+            (address, CatchupRequest(node_state.tables.slot)) for address in sorted(unknown)
+        ]
 
-    def _without_source(self, now) -> bool:
-        fresh = self.node_state.fresh_as_of
-        return fresh is None or now - fresh > WITHOUT_SOURCE_AFTER
+    # Claims and promises
 
-    def _claim(self, member):
-        """Add a first-hand claim, in place of an earlier one for the same address."""
+    def _may_bootstrap(self) -> bool:
+        """Whether this store may bootstrap; a promise once made stays valid."""
+        is_allowed = self.policy.may_bootstrap and self._may_be_bootstrap_member(
+            self.node_state.member.address
+        )
+        return is_allowed or bool(self.node_state.bootstrap_promise)
+
+    def _may_be_bootstrap_member(self, address: str) -> bool:
+        """Whether the store at `address` may be a bootstrap member.
+
+        With more seeds than bootstrap members, two sets of seeds could otherwise bootstrap a fleet
+        each.
+        """
+        if not self.policy.bootstrap_from_seeds:
+            return True
+        return address in sorted(set(self.seeds))[: self.size]
+
+    def _add_claim(self, member: Member) -> None:
+        """Add a store's own claim, in place of an earlier one for the same address."""
+        own_identity = self.node_state.member.identity
         self.claims = {
             identity: claim
             for identity, claim in self.claims.items()
-            if claim.address != member.address or identity == self.node_state.member.identity
+            if claim.address != member.address or identity == own_identity
         }
         self.claims[member.identity] = member
 
-    def _found(self, plan):
+    def _try_to_bootstrap(self, plan: Plan) -> None:
         node_state = self.node_state
         if not node_state.bootstrap_promise and self._may_promise():
             self._promise(plan)
-        self.bootstrap_promises[node_state.member.identity] = node_state.bootstrap_promise
-        members = tuple(
-            MEMBER.decode(json.loads(member)) for member in node_state.bootstrap_promise
-        )
-        promised = (
-            self.bootstrap_promises.get(member.identity) == node_state.bootstrap_promise
-            for member in members
-        )
-        if members and all(promised):
+        promise = node_state.bootstrap_promise
+        self.promises[node_state.member.identity] = promise
+        members = tuple(MEMBER.decode(json.loads(member)) for member in promise)
+        have_all_promised = all(self.promises.get(member.identity) == promise for member in members)
+        if members and have_all_promised:
             plan.records.append(founding_record(members))
             node_state.enter_first_epoch(members)
             plan.log("bootstrap", "fleet bootstrapped", voters=[member.name for member in members])
@@ -204,13 +234,16 @@
             and len(self.claims) >= self.size
         )
 
-    def _promise(self, plan):
-        """Promise a set of whole cards, so that equal promises give equal tables."""
+    def _promise(self, plan: Plan) -> None:
+        """Promise a set of members with all that describes them.
+
+        So equal promises give equal tables.
+        """
         node_state = self.node_state
         ranked = sorted(self.claims.values(), key=lambda claim: (claim.name, claim.identity))
         chosen = ranked[: self.size]
         if node_state.member not in chosen:
             return
-        cards = sorted(json.dumps(MEMBER.encode(claim), sort_keys=True) for claim in chosen)
-        node_state.bootstrap_promise = tuple(cards)
-        plan.records.append(bootstrap_promise_record(cards))
+        texts = sorted(json.dumps(MEMBER.encode(claim), sort_keys=True) for claim in chosen)
+        node_state.bootstrap_promise = tuple(texts)
+        plan.records.append(encode_record(BootstrapPromiseRecord(node_state.bootstrap_promise)))
--- a/src/willowpost/consensus/replica/compaction.py
+++ b/src/willowpost/consensus/replica/compaction.py
@@ -1,50 +1,57 @@
 """Compacts the log: drops decisions that n - f voters hold and writes a snapshot instead."""
 
+from typing import Any
+
 from willowpost.common.events import Tick
 from willowpost.common.plan import Plan
-from willowpost.consensus.log_size import trailing
+from willowpost.consensus.log_size import longest_suffix
+from willowpost.consensus.replica import barrier
 from willowpost.consensus.replica.replica_state import ReplicaState
 
 
 class Compaction:
-    """Begins a new disk segment when the current one has grown enough.
+    """Begins a new disk segment when the current one has grown enough (Rabia, section 3.4).
 
-    No decision is dropped before n - f voters hold it synced. Between two segments at most
-    `pace.rotate` decisions or `pace.rotate_bytes` bytes are appended (plus what one slot adds). A
-    segment keeps at most `pace.keep` decisions and `pace.keep_bytes` bytes of those that may be
-    dropped.
+    No decision is dropped before n - f voters hold it synced. The limits of a segment and of what
+    it retains for replicas that are behind are in `ReplicaTuning`; a segment may exceed its limit
+    by what one slot adds.
     """
 
     def __init__(self, node_state: ReplicaState):
         self.node_state = node_state
 
-    def step(self, event, now: int) -> Plan:
+    def step(self, event: Any, now: int) -> Plan:
         """On a tick: if a new segment is due, drop old decisions and begin it."""
-        plan, node_state = Plan(), self.node_state
-        if not isinstance(event, Tick) or not node_state.is_bootstrapped or not self._due():
-            return plan
-        floor = self._floor()
+        plan = Plan()
+        if isinstance(event, Tick) and self.node_state.is_bootstrapped and self._is_due():
+            self._compact(plan)
+        return plan
+
+    def _compact(self, plan: Plan) -> None:
+        node_state = self.node_state
+        floor = self._new_floor()
         node_state.log = {
             slot: decision for slot, decision in node_state.log.items() if slot >= floor
         }
         node_state.log_floor = floor
         node_state.forget_unknown_identities()
         node_state.begin_segment(plan)
-        plan.log("compaction", "snapshot written", slot=node_state.tables.slot, floor=floor)
-        return plan
+        plan.log("compaction", "snapshot written", slot=node_state.tables.slot, log_floor=floor)
 
-    def _due(self) -> bool:
+    def _is_due(self) -> bool:
         node_state = self.node_state
+        decisions = node_state.tables.slot - node_state.snapshot_slot
         return (
-            node_state.tables.slot - node_state.snapshot_slot >= node_state.tuning.rotate
-            or node_state.appended_bytes >= node_state.tuning.rotate_bytes
+            decisions >= node_state.tuning.max_segment_decisions
+            or node_state.appended_bytes >= node_state.tuning.max_segment_bytes
         )
 
-    def _floor(self) -> int:
+    def _new_floor(self) -> int:
         """Return the first slot whose decision is kept."""
-        node_state = self.node_state
+        node_state, tuning = self.node_state, self.node_state.tuning
         decisions = tuple(node_state.log[slot] for slot in sorted(node_state.log))
-        kept = trailing(decisions, node_state.tuning.keep, node_state.tuning.keep_bytes)
-        return max(
-            node_state.log_floor, min(node_state.safe_slot(), node_state.tables.slot - len(kept))
+        retained = longest_suffix(
+            decisions, tuning.max_retained_decisions, tuning.max_retained_bytes
         )
+        droppable = min(barrier.safe_slot(node_state), node_state.tables.slot - len(retained))
+        return max(node_state.log_floor, droppable)
--- a/src/willowpost/consensus/replica/records.py
+++ b/src/willowpost/consensus/replica/records.py
@@ -1,10 +1,19 @@
-"""The codec of what a store writes to its disk: JSON objects whose `k` names their kind."""
+"""What a store writes to its disk, as typed records with one codec.
 
+A record on disk is a JSON object whose `k` names its kind. The stored names stand in `RECORDS` and
+`RecordKind` alone and are never changed: a store reads the disks of earlier builds.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
 from enum import StrEnum
+from types import MappingProxyType
 from typing import Any
 
+from willowpost.common.errors import WillowpostError
 from willowpost.state.codec import (
     MEMBER,
+    JsonObject,
     RecordCodec,
     StoredField,
     decode_members,
@@ -12,19 +21,136 @@
 )
 from willowpost.wire.messages import BallotState, Command, Decision, Member
 
+KIND_NAME = "k"  # of the field that names a record's kind
+
+
+class MissingCommandError(WillowpostError, ValueError):
+    """A slot was decided, and the command is neither in the record nor in the ballot state."""
+
 
 class RecordKind(StrEnum):
     """The kind of a record on disk; the value is what is written."""
 
     IDENTITY = "identity"  # the first one of each segment
     BOOTSTRAP_PROMISE = "bootstrap_promise"
-    FOUND = "found"  # the core of the first epoch
+    FOUND = "found"  # the voters of the first epoch
     SNAPSHOT = "snapshot"
-    KEPT = "kept"  # a decision below the snapshot's slot, kept for laggards
+    KEPT = "kept"  # a decision below the snapshot's slot, for replicas that are behind
     DECISION = "decision"  # one after the snapshot
     BALLOT_STATE = "ballot_state"
-    PASSED = "passed"  # the barrier of an epoch
+    PASSED = "passed"  # the opening barrier of an epoch
+
+
+@dataclass(frozen=True, slots=True)
+class BootstrapPromiseRecord:
+    """The one bootstrap promise of this store.
+
+    Attributes:
+        members: the promised members, each as JSON text.
+    """
+
+    members: tuple[str, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class FoundingRecord:
+    """The voters of the first epoch."""
+
+    voters: tuple[Member, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotRecord:
+    """A snapshot of the tables.
+
+    Attributes:
+        text: of the tables.
+        log_floor: the first slot whose decision is kept.
+        passed_epoch: the last epoch whose opening barrier was passed.
+    """
+
+    text: str
+    log_floor: int
+    passed_epoch: int
+
+
+@dataclass(frozen=True, slots=True)
+class DecisionRecord:
+    """The decision of a slot.
+
+    Attributes:
+        slot: that was decided.
+        key: of the command; empty for NULL.
+        command: left out if the ballot state before it in the segment has it.
+    """
+
+    slot: int
+    key: str
+    command: Command | None
+
+    def decision(self, proposed: Command | None = None) -> Decision:
+        """Return the decision with its command.
+
+        Args:
+            proposed: the command of the ballot state before it, used if the record has none.
+
+        Raises:
+            MissingCommandError: the decided command is neither in the record nor the proposed one.
+        """
+        command = self.command
+        if command is None and proposed is not None and proposed.key == self.key:
+            command = proposed
+        if command is None and self.key:
+            raise MissingCommandError(
+                f"slot {self.slot} was decided as {self.key}, which is not there"
+            )
+        return Decision(self.slot, self.key, command)
+
+
+@dataclass(frozen=True, slots=True)
+class RetainedDecisionRecord(DecisionRecord):
+    """A decision below the snapshot's slot, kept for replicas that are behind."""
+
+
+@dataclass(frozen=True, slots=True)
+class BallotStateRecord:
+    """The own ballot state; see `wire.messages.BallotState`.
+
+    Attributes:
+        epoch: in which the replica votes.
+        slot: on which it votes.
+        proposal: key of the proposed command; empty for none.
+        command: the proposed command; in the slot's first record of a segment only.
+        states: one per phase.
+        votes: one per phase.
+        agreed: key of the majority's proposal; empty while it is not known.
+    """
+
+    epoch: int
+    slot: int
+    proposal: str
+    command: Command | None
+    states: tuple[int, ...]
+    votes: tuple[int, ...]
+    agreed: str = ""
+
 
+@dataclass(frozen=True, slots=True)
+class BarrierPassedRecord:
+    """The opening barrier of an epoch was passed."""
+
+    epoch: int
+
+
+Record = (
+    Member
+    | BootstrapPromiseRecord
+    | FoundingRecord
+    | SnapshotRecord
+    | DecisionRecord
+    | BallotStateRecord
+    | BarrierPassedRecord
+)
 
 COMMAND = RecordCodec(
     Command,
@@ -38,97 +164,132 @@
 )
 
 
-def command_from(stored: dict[str, Any] | None) -> Command | None:
+def command_from(stored: JsonObject | None) -> Command | None:
     """Return the command of a record, or None if it has none."""
     return None if stored is None else COMMAND.decode(stored)
 
 
-def ballot_state_record(ballot_state: BallotState, whole: bool) -> dict:
-    """Return the record of a ballot state.
+def _stored_command(command: Command | None) -> JsonObject | None:
+    return None if command is None else COMMAND.encode(command)
 
-    `whole` includes the command's body: with the first ballot state of a slot and in each new
-    segment.
-    """
-    return {
-        "k": RecordKind.BALLOT_STATE,
-        "epoch": ballot_state.epoch,
-        "slot": ballot_state.slot,
-        "proposal": ballot_state.proposal,
-        "command": COMMAND.encode(ballot_state.command) if whole and ballot_state.command else None,
-        "states": list(ballot_state.states),
-        "votes": list(ballot_state.votes),
-        "agreed": ballot_state.agreed,
-    }
 
+_COMMAND_FIELD = StoredField("command", encode=_stored_command, decode=command_from)
+_DECISION_FIELDS = {
+    "slot": StoredField("slot"),
+    "key": StoredField("key"),
+    "command": _COMMAND_FIELD,
+}
 
-def decision_record(decision: Decision, whole: bool = True) -> dict:
-    """Return the record of a decision.
-
-    Without `whole` the command is left out: the own ballot state of the slot already holds it in
-    this segment.
-    """
-    return {
-        "k": RecordKind.DECISION,
-        "slot": decision.slot,
-        "key": decision.key,
-        "command": COMMAND.encode(decision.command) if whole and decision.command else None,
+RECORDS: Mapping[RecordKind, RecordCodec[Any]] = MappingProxyType(
+    {
+        RecordKind.IDENTITY: MEMBER,
+        RecordKind.BOOTSTRAP_PROMISE: RecordCodec(
+            BootstrapPromiseRecord, {"members": StoredField("members", encode=list, decode=tuple)}
+        ),
+        RecordKind.FOUND: RecordCodec(
+            FoundingRecord,
+            {"voters": StoredField("core", encode=encode_members, decode=decode_members)},
+        ),
+        RecordKind.SNAPSHOT: RecordCodec(
+            SnapshotRecord,
+            {
+                "text": StoredField("text"),
+                "log_floor": StoredField("log_floor"),
+                "passed_epoch": StoredField("passed"),
+            },
+        ),
+        RecordKind.KEPT: RecordCodec(RetainedDecisionRecord, _DECISION_FIELDS),
+        RecordKind.DECISION: RecordCodec(DecisionRecord, _DECISION_FIELDS),
+        RecordKind.BALLOT_STATE: RecordCodec(
+            BallotStateRecord,
+            {
+                "epoch": StoredField("epoch"),
+                "slot": StoredField("slot"),
+                "proposal": StoredField("proposal"),
+                "command": _COMMAND_FIELD,
+                "states": StoredField("states", encode=list, decode=tuple),
+                "votes": StoredField("votes", encode=list, decode=tuple),
+                "agreed": StoredField("agreed"),
+            },
+        ),
+        RecordKind.PASSED: RecordCodec(BarrierPassedRecord, {"epoch": StoredField("epoch")}),
     }
+)
+_KINDS: Mapping[type, RecordKind] = MappingProxyType(
+    {codec.kind: kind for kind, codec in RECORDS.items()}
+)
 
 
-def kept_record(decision: Decision) -> dict:
-    """Return the record of a decision below the snapshot's slot, kept for laggards."""
-    return {**decision_record(decision), "k": RecordKind.KEPT}
-
+def encode_record(record: Record) -> JsonObject:
+    """Return the JSON object of a record."""
+    kind = _KINDS[type(record)]
+    return {KIND_NAME: kind, **RECORDS[kind].encode(record)}
 
-def decision_from(held: dict, proposed: Command | None = None) -> Decision:
-    """Read a decision from its record.
 
-    Args:
-        held: the record.
-        proposed: the command of the ballot state before it, used if the record has no command.
+def decode_record(stored: JsonObject) -> Record:
+    """Read a record from its JSON object.
 
     Raises:
-        ValueError: the decided command is neither in the record nor the proposed one.
+        KeyError: its kind is unknown, or a field is missing.
     """
-    command = command_from(held["command"])
-    if command is None and proposed is not None and proposed.key == held["key"]:
-        command = proposed
-    if command is None and held["key"]:
-        raise ValueError(f"slot {held['slot']} was decided as {held['key']}, which is not there")
-    return Decision(held["slot"], held["key"], command)
+    record: Record = RECORDS[stored[KIND_NAME]].decode(stored)
+    return record
 
 
-def identity_record(me: Member) -> dict:
+def identity_record(member: Member) -> JsonObject:
     """Return the record of this store's identity; made once, for an empty folder."""
-    return {"k": RecordKind.IDENTITY, **MEMBER.encode(me)}
-
+    return encode_record(member)
 
-def bootstrap_promise_record(cards: tuple[str, ...]) -> dict:
-    """Return the record of the one bootstrap promise: the members' cards as JSON."""
-    return {"k": RecordKind.BOOTSTRAP_PROMISE, "members": list(cards)}
 
-
-def founding_record(voters: tuple[Member, ...]) -> dict[str, Any]:
+def founding_record(voters: tuple[Member, ...]) -> JsonObject:
     """Return the record of the first epoch with its voters."""
-    return {"k": RecordKind.FOUND, "core": encode_members(voters)}
+    return encode_record(FoundingRecord(voters))
 
 
-def founding_voters(stored: dict[str, Any]) -> tuple[Member, ...]:
+def founding_voters(stored: JsonObject) -> tuple[Member, ...]:
     """Read the voters of the record of the first epoch."""
-    return decode_members(stored["core"])
+    record: FoundingRecord = RECORDS[RecordKind.FOUND].decode(stored)
+    return record.voters
 
 
-def snapshot_record(text: str, log_floor: int, passed: int) -> dict:
-    """Return the record of a snapshot.
+def ballot_state_record(ballot_state: BallotState, with_command: bool) -> JsonObject:
+    """Return the record of a ballot state.
 
     Args:
-        text: the tables' text.
-        log_floor: the first slot whose decision is kept.
-        passed: the last epoch whose barrier was passed.
+        ballot_state: of this replica.
+        with_command: whether the command is written as well: with the first ballot state of a slot
+            and in each new segment.
     """
-    return {"k": RecordKind.SNAPSHOT, "text": text, "log_floor": log_floor, "passed": passed}
+    return encode_record(
+        BallotStateRecord(
+            ballot_state.epoch,
+            ballot_state.slot,
+            ballot_state.proposal,
+            ballot_state.command if with_command else None,
+            ballot_state.states,
+            ballot_state.votes,
+            ballot_state.agreed,
+        )
+    )
+
+
+def decision_record(decision: Decision, with_command: bool = True) -> JsonObject:
+    """Return the record of a decision.
+
+    Args:
+        decision: of a slot.
+        with_command: False if the own ballot state of the slot has the command in this segment.
+    """
+    command = decision.command if with_command else None
+    return encode_record(DecisionRecord(decision.slot, decision.key, command))
+
+
+def retained_decision_record(decision: Decision) -> JsonObject:
+    """Return the record of a decision below the snapshot's slot."""
+    return encode_record(RetainedDecisionRecord(decision.slot, decision.key, decision.command))
 
 
-def passed_record(epoch: int) -> dict:
-    """Return the record that this epoch's barrier was passed."""
-    return {"k": RecordKind.PASSED, "epoch": epoch}
+def decision_from(stored: JsonObject, proposed: Command | None = None) -> Decision:
+    """Read a decision from its record; see `DecisionRecord.decision`."""
+    record: DecisionRecord = RECORDS[RecordKind.DECISION].decode(stored)
+    return record.decision(proposed)
--- a/src/willowpost/consensus/replica/replica_state.py
+++ b/src/willowpost/consensus/replica/replica_state.py
@@ -1,102 +1,125 @@
-"""The state of one store, shared by its controllers; only they change it."""
+"""The state of one replica, shared by its controllers; only they change it.
+
+What may be concluded from it about other replicas' disks stands in `barrier.py`, how it is rebuilt
+from a disk in `restoration.py`.
+"""
 
 from dataclasses import dataclass, field, replace
 
-from willowpost.common.clock import MILLI
 from willowpost.common.plan import Plan
-from willowpost.consensus.log_size import size_of
+from willowpost.consensus.log_size import decision_bytes
 from willowpost.consensus.pending_queue import PendingQueue
-from willowpost.consensus.replica.barrier import is_passed, previous_identities, quorum_index
 from willowpost.consensus.replica.records import (
-    RecordKind,
+    BootstrapPromiseRecord,
+    SnapshotRecord,
     ballot_state_record,
-    bootstrap_promise_record,
-    command_from,
-    decision_from,
     decision_record,
-    founding_voters,
+    encode_record,
     identity_record,
-    kept_record,
-    snapshot_record,
+    retained_decision_record,
 )
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.state.apply import StateMachine, is_decided
+from willowpost.state.codec import JsonObject
 from willowpost.state.snapshot_transfer import SnapshotReceiver, SnapshotSource
-from willowpost.state.tables import Tables, tables_from
+from willowpost.state.tables import Tables
 from willowpost.wire.messages import BallotState, Command, Decision, Member, SyncedIndex
 
 
-@dataclass(frozen=True, slots=True)
-class ReplicaTuning:
-    """Intervals in µs, and limits of the log in decisions and bytes; settings may change them.
+@dataclass(slots=True)
+class VotingStatistics:
+    """What this process has seen decided since its start.
 
     Attributes:
-        resend: after which the current ballot state is sent again.
-        freeze: how long a command waits for proposals of others before it is proposed.
-        synced_index: between two reports of the own synced index.
-        ask: between two requests for missing decisions.
-        read: between two quorum reads.
-        hello: between two greetings while the fleet is not bootstrapped.
-        keep: decisions kept for laggards beyond what must be kept.
-        keep_bytes: at most so many bytes of them.
-        rotate: decisions between two snapshots.
-        rotate_bytes: bytes appended between two snapshots.
+        decided: slots.
+        null: of these, slots that were forfeited.
+        decided_by_votes: slots that this replica decided by votes, not by catching up.
+        fast_path: of these, slots decided in the first phase (Rabia, section 3.5).
+        phases: that the slots decided by votes took together.
     """
 
-    resend: int = 60 * MILLI
-    freeze: int = 0
-    synced_index: int = 100 * MILLI
-    ask: int = 40 * MILLI
-    read: int = 150 * MILLI
-    hello: int = 200 * MILLI
-    keep: int = 512  # decisions kept for laggards beyond what must be kept
-    keep_bytes: int = 8 * 1024 * 1024  # and at most so many bytes of them
-    rotate: int = 2048  # decisions between two snapshots
-    rotate_bytes: int = 16 * 1024 * 1024  # bytes appended between two snapshots
+    decided: int = 0
+    null: int = 0
+    decided_by_votes: int = 0
+    fast_path: int = 0
+    phases: int = 0
+
+    def count_decision(self, decision: Decision) -> None:
+        """Count a decided slot."""
+        self.decided += 1
+        self.null += not decision.key
+
+    def count_verdict(self, phase: int) -> None:
+        """Count a slot that this replica decided by votes in this phase."""
+        self.decided_by_votes += 1
+        self.fast_path += phase == 1
+        self.phases += phase
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """The state of one store.
+    """The state of one replica.
 
     Invariants:
 
-    - `own` is synced to disk before any of it is sent; it only grows while its slot is open.
+    - `own_ballot_state` is synced to disk before any of it is sent; it only grows while its slot is
+      open.
     - `log` holds every decision from `log_floor` to `tables.slot - 1`.
     - `synced_indexes[i]` is a slot below which member i has reported all decisions synced.
-    - `heard` holds only ballot states of members of the epoch in force, for slot `tables.slot`.
-    - `early` holds ballot states of later slots, by slot and then identity.
+    - `ballot_states` holds only ballot states of voters of the epoch in force, for `tables.slot`.
+    - `early_ballot_states` holds ballot states of later slots, by slot and then identity.
+
+    Attributes:
+        member: this store.
+        tuning: its intervals and limits.
+        thresholds: the quorum sizes for a number of voters.
+        tables: the applied log.
+        log: decisions by slot.
+        log_floor: the first slot whose decision is kept.
+        pending_commands: commands that wait for a slot.
+        own_ballot_state: in the open slot; None: nothing was proposed yet.
+        ballot_states: in the open slot, by identity, the own one included.
+        ballot_states_since: when the first one of the slot came, or the slot before was decided;
+            µs, own clock.
+        early_ballot_states: of later slots, by slot and identity.
+        synced_indexes: by identity.
+        passed_epoch: the last epoch whose opening barrier was passed.
+        snapshot_slot: of the last snapshot on disk.
+        appended_bytes: of commands, since the last snapshot.
+        incoming_snapshot: the transfer from another store.
+        outgoing_snapshot: the transfers to other daemons.
+        bootstrap_promise: the promised members as JSON texts; empty: none was promised.
+        voter_addresses: of the epoch in force, by identity.
+        fresh_as_of: everything accepted before is applied here; µs, own clock; None: not known.
+        statistics: of this process.
     """
 
     member: Member
-    tuning: ReplicaTuning = ReplicaTuning()
-    thresholds: type = Thresholds
+    tuning: ReplicaTuning = field(default_factory=ReplicaTuning)
+    thresholds: type[Thresholds] = Thresholds
     tables: Tables = field(default_factory=Tables)
-    log: dict = field(default_factory=dict)
+    log: dict[int, Decision] = field(default_factory=dict)
     log_floor: int = 0
     pending_commands: PendingQueue = field(default_factory=PendingQueue)
     own_ballot_state: BallotState | None = None
-    ballot_states: dict = field(default_factory=dict)
+    ballot_states: dict[str, BallotState] = field(default_factory=dict)
     ballot_states_since: int = 0
-    early_ballot_states: dict = field(default_factory=dict)
-    synced_indexes: dict = field(default_factory=dict)
-    passed_epoch: int = 0  # the last epoch whose opening barrier was passed
-    snapshot_slot: int = 0  # slot of the last snapshot
-    appended_bytes: int = 0  # of commands, since the last snapshot
+    early_ballot_states: dict[int, dict[str, BallotState]] = field(default_factory=dict)
+    synced_indexes: dict[str, int] = field(default_factory=dict)
+    passed_epoch: int = 0
+    snapshot_slot: int = 0
+    appended_bytes: int = 0
     incoming_snapshot: SnapshotReceiver = field(default_factory=SnapshotReceiver)
     outgoing_snapshot: SnapshotSource = field(default_factory=SnapshotSource)
-    bootstrap_promise: tuple = ()
-    voter_addresses: dict = field(
-        default_factory=dict
-    )  # identity -> address, of the epoch in force
-    fresh_as_of: int | None = None  # own clock: all accepted before it is applied here
-    stats: dict = field(
-        default_factory=lambda: {"decided": 0, "null": 0, "voted": 0, "fast": 0, "phases": 0}
-    )
+    bootstrap_promise: tuple[str, ...] = ()
+    voter_addresses: dict[str, str] = field(default_factory=dict)
+    fresh_as_of: int | None = None
+    statistics: VotingStatistics = field(default_factory=VotingStatistics)
 
     @property
     def is_bootstrapped(self) -> bool:
-        """Whether this store holds the tables of a bootstrapped fleet."""
+        """Whether this store has the tables of a bootstrapped fleet."""
         return self.tables.epoch > 0
 
     @property
@@ -110,39 +133,48 @@
         return self.thresholds(len(self.tables.voters))
 
     def other_addresses(self) -> list[str]:
-        """Addresses of the voters of the epoch in force, without this store."""
+        """Return the addresses of the voters of the epoch in force, without this store."""
         return [
             address
             for identity, address in self.voter_addresses.items()
             if identity != self.member.identity
         ]
 
+    def is_decided(self, command: Command) -> bool:
+        """Whether the command is in the log, or barred from it for ever."""
+        return is_decided(self.tables, command)
+
+    # Synced indexes
+
     def record_synced_index(self, identity: str, slot: int) -> None:
-        """Record that a member holds every slot below `slot`; it never goes back."""
+        """Record that a member holds every slot below `slot`; an index never goes back."""
         self.synced_indexes[identity] = max(self.synced_indexes.get(identity, 0), slot)
 
-    def safe_slot(self) -> int:
-        """Return the slot below which everything is synced on n - f voters.
+    def highest_synced_index(self) -> int:
+        """Return the highest index that a voter of the epoch in force has reported."""
+        return max(
+            (self.synced_indexes.get(identity, 0) for identity in self.voter_addresses), default=0
+        )
 
-        It stays so if the replaced voters are lost. Until the barrier of the epoch in force is
-        passed, n - f of the former voters must hold it as well: a reader that has not heard of the
-        change asks those.
-        """
-        index = quorum_index(self.voter_addresses, self.synced_indexes, self.thresholds)
-        if is_passed(self):
-            return index
-        former = previous_identities(self.tables)
-        return min(index, quorum_index(former, self.synced_indexes, self.thresholds))
+    def forget_unknown_identities(self) -> None:
+        """Drop the synced indexes of all but the voters and the voters before them."""
+        known = {*self.voter_addresses, *self.tables.previous_voter_identities()}
+        self.synced_indexes = {
+            identity: slot for identity, slot in self.synced_indexes.items() if identity in known
+        }
+        self.synced_indexes[self.member.identity] = self.tables.slot
 
-    def is_decided(self, command: Command) -> bool:
-        """Whether the command is in the log, or barred from it for ever."""
-        return is_decided(self.tables, command)
+    # Tables and log
+
+    def enter_first_epoch(self, voters: tuple[Member, ...]) -> None:
+        """Enter epoch 1 with these voters."""
+        self.install_tables(replace(Tables(), epoch=1, voters=voters))
 
     def install_tables(self, tables: Tables) -> None:
         """Replace the tables, and reset what depends on their epoch and slot."""
         self.tables = tables
         self.voter_addresses = {voter.identity: voter.address for voter in tables.voters}
-        self.own_ballot_state, self.ballot_states = None, {}
+        self.own_ballot_state = None
         arrived = self.early_ballot_states.pop(tables.slot, {})
         self.ballot_states = {
             identity: ballot_state
@@ -150,25 +182,27 @@
             if identity in self.voter_addresses and ballot_state.epoch == tables.epoch
         }
         self.early_ballot_states = {
-            slot: held for slot, held in self.early_ballot_states.items() if slot > tables.slot
+            slot: ballot_states
+            for slot, ballot_states in self.early_ballot_states.items()
+            if slot > tables.slot
         }
         self.synced_indexes[self.member.identity] = tables.slot
 
     def commit(self, decision: Decision, plan: Plan) -> None:
         """Apply a decision of slot `tables.slot`, write it to disk and report the new synced index.
 
-        The command's body is left out of the record if the own ballot state has written it already.
+        The command is left out of the record if the own ballot state has written it already.
         """
-        proposed = self.own_ballot_state is not None and self.own_ballot_state.command is not None
-        written = proposed and self.own_ballot_state.command.key == decision.key
-        plan.records.append(decision_record(decision, whole=not written))
-        self.replay(decision)
+        proposed = self.own_ballot_state.command if self.own_ballot_state else None
+        is_written = proposed is not None and proposed.key == decision.key
+        plan.records.append(decision_record(decision, with_command=not is_written))
+        self.apply_decision(decision)
         plan.sends += [
             (address, SyncedIndex(self.member.identity, self.tables.slot))
             for address in self.other_addresses()
         ]
 
-    def replay(self, decision: Decision) -> None:
+    def apply_decision(self, decision: Decision) -> None:
         """Apply a decision of slot `tables.slot` to the log and the tables, without any output.
 
         Raises:
@@ -177,105 +211,26 @@
         self.log[decision.slot] = decision
         if decision.key:
             self.pending_commands.drop(decision.key)
-        self.appended_bytes += size_of(decision)
-        self.stats["decided"] += 1
-        self.stats["null"] += not decision.key
+        self.appended_bytes += decision_bytes(decision)
+        self.statistics.count_decision(decision)
         self.install_tables(StateMachine().apply(self.tables, decision))
 
+    # Disk segments
+
     def begin_segment(self, plan: Plan) -> None:
         """Plan a new disk segment; it replaces the records that the plan would append."""
         self.snapshot_slot, self.appended_bytes = self.tables.slot, 0
         plan.rotate = self.segment_records()
         plan.records.clear()
 
-    def forget_unknown_identities(self) -> None:
-        """Drop synced indexes of all but the voters and the voters before them."""
-        known = {*self.voter_addresses, *previous_identities(self.tables)}
-        self.synced_indexes = {
-            identity: slot for identity, slot in self.synced_indexes.items() if identity in known
-        }
-        self.synced_indexes[self.member.identity] = self.tables.slot
-
-    def segment_records(self) -> list[dict]:
+    def segment_records(self) -> list[JsonObject]:
         """Return the records of a new disk segment: everything this store must keep."""
         records = [identity_record(self.member)]
         if self.bootstrap_promise:
-            records.append(bootstrap_promise_record(self.bootstrap_promise))
-        records.append(snapshot_record(self.tables.text(), self.log_floor, self.passed_epoch))
-        records += [kept_record(self.log[slot]) for slot in sorted(self.log)]
+            records.append(encode_record(BootstrapPromiseRecord(self.bootstrap_promise)))
+        snapshot = SnapshotRecord(self.tables.text(), self.log_floor, self.passed_epoch)
+        records.append(encode_record(snapshot))
+        records += [retained_decision_record(self.log[slot]) for slot in sorted(self.log)]
         if self.own_ballot_state:
-            records.append(ballot_state_record(self.own_ballot_state, True))
+            records.append(ballot_state_record(self.own_ballot_state, with_command=True))
         return records
-
-    def restore(self, records: list[dict], now: int) -> None:
-        """Rebuild the state from the records on disk.
-
-        Args:
-            records: oldest first, each as `records.py` makes it.
-            now: µs, own clock.
-        """
-        readers = {
-            RecordKind.IDENTITY: lambda held: None,
-            RecordKind.BOOTSTRAP_PROMISE: self._bootstrap_promise,
-            RecordKind.FOUND: self._founding,
-            RecordKind.SNAPSHOT: self._snapshot,
-            RecordKind.KEPT: self._kept,
-            RecordKind.DECISION: self._decision,
-            RecordKind.BALLOT_STATE: self._ballot_state,
-            RecordKind.PASSED: self._passed,
-        }
-        for record in records:
-            readers[record["k"]](record)
-        if self.own_ballot_state and self.own_ballot_state.command:
-            self.pending_commands.push(self.own_ballot_state.command, now)
-        if self.own_ballot_state:
-            self.ballot_states[self.member.identity] = self.own_ballot_state
-
-    def _bootstrap_promise(self, held):
-        self.bootstrap_promise = tuple(held["members"])
-
-    def _founding(self, held):
-        self.enter_first_epoch(founding_voters(held))
-
-    def enter_first_epoch(self, voters: tuple[Member, ...]) -> None:
-        """Enter epoch 1 with these voters."""
-        self.install_tables(replace(Tables(), epoch=1, voters=voters))
-
-    def _snapshot(self, held):
-        self.log = {}
-        self.install_tables(tables_from(held["text"]))
-        self.log_floor, self.snapshot_slot, self.passed_epoch = (
-            held["log_floor"],
-            self.tables.slot,
-            held["passed"],
-        )
-
-    def _kept(self, held):
-        self.log[held["slot"]] = decision_from(held)
-
-    def _decision(self, held):
-        self.replay(
-            decision_from(held, self.own_ballot_state.command if self.own_ballot_state else None)
-        )
-
-    def _passed(self, held):
-        self.passed_epoch = held["epoch"]
-
-    def _ballot_state(self, held):
-        command = command_from(held["command"])
-        if (
-            command is None
-            and self.own_ballot_state is not None
-            and self.own_ballot_state.slot == held["slot"]
-        ):
-            command = self.own_ballot_state.command
-        self.own_ballot_state = BallotState(
-            self.member.identity,
-            held["epoch"],
-            held["slot"],
-            held["proposal"],
-            command,
-            tuple(held["states"]),
-            tuple(held["votes"]),
-            agreed=held.get("agreed", ""),
-        )
--- a/src/willowpost/consensus/replica/voting.py
+++ b/src/willowpost/consensus/replica/voting.py
@@ -1,11 +1,16 @@
-"""Algorithm 1: decides one slot after the other by Weak-MVC, without a leader."""
+"""Algorithm 1 of Rabia: decides one slot after the other by Weak-MVC, without a leader."""
 
 from dataclasses import replace
+from typing import Any, TypeGuard
 
 from willowpost.common.events import Received, Tick
 from willowpost.common.plan import Plan
-from willowpost.consensus.replica.barrier import first_slot, is_passed
-from willowpost.consensus.replica.records import ballot_state_record, passed_record
+from willowpost.consensus.replica.barrier import is_passed
+from willowpost.consensus.replica.records import (
+    BarrierPassedRecord,
+    ballot_state_record,
+    encode_record,
+)
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.weakmvc import Verdict, WeakMvc, agreed_proposal
 from willowpost.wire.messages import (
@@ -18,7 +23,7 @@
     SubmitCommand,
 )
 
-EARLY_MOST = 64
+MAX_EARLY_SLOTS = 64  # beyond the open one, whose ballot states are kept
 
 
 class Voting:
@@ -30,127 +35,120 @@
     def __init__(self, node_state: ReplicaState):
         self.node_state = node_state
         self.mvc = WeakMvc()
-        self.sent_at = 0
-        self.asked_at = 0
+        self.sent_at = 0  # the own ballot state; µs, own clock
+        self.body_requested_at = 0  # µs, own clock
 
-    def step(self, event, now: int) -> Plan:
+    def step(self, event: Any, now: int) -> Plan:
         """Take in commands and ballot states, then go as far as the received ones allow."""
         plan = Plan()
         match event:
             case Received(_, BallotState() as ballot_state):
-                self._hear(event.source, ballot_state, now, plan)
-            case Received(_, ForwardCommand(command)) | Received(_, SubmitCommand(command)):
-                self._pend(event, command, now, plan)
-            case Received(_, CatchupResponse(command=command)) if (
-                command is not None and not self.node_state.is_decided(command)
-            ):
-                self.node_state.pending_commands.push(command, now)
+                self._record_ballot_state(ballot_state, now)
+            case Received(_, ForwardCommand(command)):
+                self._enqueue(command, now)
+            case Received(_, SubmitCommand(command)):
+                self._enqueue_and_forward(command, now, plan)
+            case Received(_, CatchupResponse(command=command)) if command is not None:
+                self._enqueue(command, now)
             case Tick():
-                self._resend(now, plan)
-        self._pump(now, plan)
+                self._resend_if_due(now, plan)
+        while self.node_state.is_voter and self._advance(now, plan):
+            pass
         return plan
 
-    def _pend(self, event, command, now, plan):
+    # What others send
+
+    def _enqueue(self, command: Command, now: int) -> bool:
+        """Queue a command; False if it is queued already or decided."""
         node_state = self.node_state
-        if node_state.is_decided(command) or not node_state.pending_commands.push(command, now):
-            return
-        if isinstance(event.message, SubmitCommand):
-            plan.sends += [
-                (address, ForwardCommand(command)) for address in node_state.other_addresses()
-            ]
+        return not node_state.is_decided(command) and node_state.pending_commands.push(command, now)
+
+    def _enqueue_and_forward(self, command: Command, now: int, plan: Plan) -> None:
+        """Queue a client's command, and forward it the first time (Algorithm 1, lines 8-9)."""
+        if self._enqueue(command, now):
+            forward = ForwardCommand(command)
+            plan.sends += [(address, forward) for address in self.node_state.other_addresses()]
 
-    def _hear(self, source, ballot_state, now, plan):
+    def _record_ballot_state(self, ballot_state: BallotState, now: int) -> None:
+        """Record another replica's ballot state of the open slot or of a later one.
+
+        Its command is queued here as well, so that a replica without commands proposes the same.
+        """
         node_state, slot = self.node_state, self.node_state.tables.slot
-        if ballot_state.command is not None and not node_state.is_decided(ballot_state.command):
-            node_state.pending_commands.push(ballot_state.command, now)
-        if ballot_state.identity in node_state.voter_addresses:
+        is_voter = ballot_state.identity in node_state.voter_addresses
+        if ballot_state.command is not None:
+            self._enqueue(ballot_state.command, now)
+        if is_voter:
             node_state.record_synced_index(ballot_state.identity, ballot_state.slot)
-        if ballot_state.slot > slot and ballot_state.slot < slot + EARLY_MOST:
-            self._merge(
-                node_state.early_ballot_states.setdefault(ballot_state.slot, {}), ballot_state
-            )
+        if slot < ballot_state.slot < slot + MAX_EARLY_SLOTS:
+            early = node_state.early_ballot_states.setdefault(ballot_state.slot, {})
+            _replace_if_longer(early, ballot_state)
         elif (
-            ballot_state.slot == slot
-            and ballot_state.identity in node_state.voter_addresses
-            and ballot_state.epoch == node_state.tables.epoch
+            ballot_state.slot == slot and is_voter and ballot_state.epoch == node_state.tables.epoch
         ):
             if not node_state.ballot_states:
                 node_state.ballot_states_since = now
-            self._merge(node_state.ballot_states, ballot_state)
+            _replace_if_longer(node_state.ballot_states, ballot_state)
 
-    def _merge(self, held, ballot_state):
-        known = held.get(ballot_state.identity)
-        if known is None or len(ballot_state.states) + len(ballot_state.votes) > len(
-            known.states
-        ) + len(known.votes):
-            held[ballot_state.identity] = replace(ballot_state, command=None)
+    # The open slot
 
-    def _pump(self, now, plan):
-        while self.node_state.is_voter and self._advance(now, plan):
-            pass
-
-    def _advance(self, now, plan) -> bool:
+    def _advance(self, now: int, plan: Plan) -> bool:
+        """Take one step in the open slot; False if more must be received first."""
         node_state = self.node_state
-        if node_state.own_ballot_state is None:
+        own = node_state.own_ballot_state
+        if own is None:
             return self._propose(now, plan)
-        moved = self.mvc.step(
-            node_state.own_ballot_state, node_state.ballot_states, node_state.quorum_sizes
-        )
-        if isinstance(moved, Verdict):
-            return self._decide(moved, node_state.own_ballot_state, now, plan)
-        if moved is None:
+        result = self.mvc.step(own, node_state.ballot_states, node_state.quorum_sizes)
+        if result is None:
             return False
-        self._stand(moved, now, plan, first=False)
+        if isinstance(result, Verdict):
+            return self._decide(result, own, now, plan)
+        self._adopt_ballot_state(result, now, plan, is_first=False)
         return True
 
-    def _propose(self, now, plan) -> bool:
-        node_state = self.node_state
-        if not self._opened(plan):
-            return False
-        head = node_state.pending_commands.head(node_state.is_decided)
-        strangers = [
-            ballot_state
-            for identity, ballot_state in node_state.ballot_states.items()
-            if identity != node_state.member.identity
-        ]
-        if head is None and not strangers:
-            return False
-        if head is None and now - node_state.ballot_states_since < node_state.tuning.resend:
-            self._fetch(strangers, now, plan)
-            return False
-        if (
-            head is not None
-            and not strangers
-            and now - node_state.pending_commands.since[head.key] < node_state.tuning.freeze
-        ):
+    def _propose(self, now: int, plan: Plan) -> bool:
+        """Propose the oldest pending command (Algorithm 1, lines 1-2); False if it must wait.
+
+        Without one, and once others have proposed for `resend_interval_us`, nothing is proposed: an
+        empty proposal never makes a majority, but lets the slot end.
+        """
+        node_state, tuning = self.node_state, self.node_state.tuning
+        if not self._open_slot(plan):
             return False
-        ballot_state = BallotState(
+        command = node_state.pending_commands.head(node_state.is_decided)
+        others = self._ballot_states_of_others()
+        if command is None:
+            if not others:
+                return False
+            if now - node_state.ballot_states_since < tuning.resend_interval_us:
+                self._request_proposed_body(others, now, plan)
+                return False
+        elif not others:
+            queued_at = node_state.pending_commands.queued_at(command.key)
+            if now - queued_at < tuning.proposal_delay_us:
+                return False
+        self._adopt_ballot_state(self._proposal_of(command), now, plan, is_first=True)
+        return True
+
+    def _proposal_of(self, command: Command | None) -> BallotState:
+        node_state = self.node_state
+        return BallotState(
             node_state.member.identity,
             node_state.tables.epoch,
             node_state.tables.slot,
-            head.key if head else "",
-            head,
-        )
-        self._stand(ballot_state, now, plan, first=True)
-        return True
-
-    def _fetch(self, strangers, now, plan):
-        """Ask for the body of a command that others propose, so it can be proposed here too."""
-        key = next(
-            (ballot_state.proposal for ballot_state in strangers if ballot_state.proposal), ""
+            command.key if command else "",
+            command,
         )
-        if key:
-            self._ask_for_body(key, now, plan)
 
-    def _ask_for_body(self, key, now, plan):
-        """Ask all other voters for a command's body, at most twice per `pace.resend`."""
-        if now - self.asked_at < self.node_state.tuning.resend // 2:
-            return
-        self.asked_at = now
-        question = CatchupRequest(self.node_state.tables.slot, key)
-        plan.sends += [(address, question) for address in self.node_state.other_addresses()]
+    def _ballot_states_of_others(self) -> list[BallotState]:
+        node_state = self.node_state
+        return [
+            ballot_state
+            for identity, ballot_state in node_state.ballot_states.items()
+            if identity != node_state.member.identity
+        ]
 
-    def _opened(self, plan) -> bool:
+    def _open_slot(self, plan: Plan) -> bool:
         """Whether the slot may be voted on: its epoch's barrier is passed, and recorded on disk.
 
         See `consensus/replica/barrier.py`.
@@ -159,40 +157,63 @@
         if not is_passed(node_state):
             return False
         tables = node_state.tables
-        begins = tables.previous_voters is not None and tables.slot == first_slot(tables)
-        if begins and node_state.passed_epoch < tables.epoch:
+        is_first_slot = (
+            tables.previous_voters is not None and tables.slot == tables.epoch_first_slot()
+        )
+        if is_first_slot and node_state.passed_epoch < tables.epoch:
             node_state.passed_epoch = tables.epoch
-            plan.records.append(passed_record(tables.epoch))
+            plan.records.append(encode_record(BarrierPassedRecord(tables.epoch)))
         return True
 
-    def _stand(self, ballot_state, now, plan, first):
+    # The own ballot state
+
+    def _adopt_ballot_state(
+        self, ballot_state: BallotState, now: int, plan: Plan, is_first: bool
+    ) -> None:
+        """Make this the own ballot state: write it to disk and send it.
+
+        Only the slot's first one carries the command's body.
+        """
         node_state = self.node_state
+        without_body = replace(ballot_state, command=None)
         node_state.own_ballot_state = ballot_state
-        node_state.ballot_states[node_state.member.identity] = replace(ballot_state, command=None)
-        plan.records.append(ballot_state_record(ballot_state, first))
-        self._say(ballot_state if first else replace(ballot_state, command=None), now, plan)
+        node_state.ballot_states[node_state.member.identity] = without_body
+        plan.records.append(ballot_state_record(ballot_state, with_command=is_first))
+        self._broadcast(ballot_state if is_first else without_body, now, plan)
 
-    def _say(self, ballot_state, now, plan):
+    def _broadcast(self, ballot_state: BallotState, now: int, plan: Plan) -> None:
         """Send the ballot state to all others, in place of an earlier one of this plan and slot.
 
         The earlier one may carry the command's body, which is then sent with this one.
         """
         self.sent_at = now
-        earlier = [
-            sent
-            for _, sent in plan.sends
-            if isinstance(sent, BallotState) and sent.slot == ballot_state.slot
+        superseded = [
+            message for _, message in plan.sends if _is_ballot_state_of(message, ballot_state.slot)
         ]
-        body = next((sent.command for sent in earlier if sent.command), ballot_state.command)
+        body = next(
+            (message.command for message in superseded if message.command), ballot_state.command
+        )
         plan.sends = [
-            (address, sent)
-            for address, sent in plan.sends
-            if not isinstance(sent, BallotState) or sent.slot != ballot_state.slot
+            (address, message)
+            for address, message in plan.sends
+            if not _is_ballot_state_of(message, ballot_state.slot)
         ]
         newest = replace(ballot_state, command=body)
         plan.sends += [(address, newest) for address in self.node_state.other_addresses()]
 
-    def _decide(self, verdict: Verdict, own: BallotState, now, plan) -> bool:
+    def _resend_if_due(self, now: int, plan: Plan) -> None:
+        node_state = self.node_state
+        own = node_state.own_ballot_state
+        is_due = now - self.sent_at >= node_state.tuning.resend_interval_us
+        if own is None or not node_state.is_voter or not is_due:
+            return
+        self.sent_at = now
+        resent = replace(own, again=True)
+        plan.sends += [(address, resent) for address in node_state.other_addresses()]
+
+    # The decision
+
+    def _decide(self, verdict: Verdict, own: BallotState, now: int, plan: Plan) -> bool:
         """Commit the slot's decision; False while the command's key or body is unknown."""
         node_state = self.node_state
         key = self._decided_key(verdict, own)
@@ -200,41 +221,56 @@
             return False
         command = self._body_of(key, own) if key else None
         if key and command is None:
-            self._ask_for_body(key, now, plan)
+            self._request_body(key, now, plan)
             return False
-        self._count(verdict)
+        node_state.statistics.count_verdict(verdict.phase)
         node_state.commit(Decision(node_state.tables.slot, key, command), plan)
         node_state.ballot_states_since = now
         return True
 
     def _decided_key(self, verdict: Verdict, own: BallotState) -> str | None:
-        """Return the decided key: "" for a 0, None while the proposal is unknown."""
+        """Return the decided key (Algorithm 3): "" for a 0, None while the proposal is unknown."""
         node_state = self.node_state
         if not verdict.value:
             return ""
         return own.agreed or agreed_proposal(node_state.ballot_states, node_state.quorum_sizes)
 
     def _body_of(self, key: str, own: BallotState) -> Command | None:
-        command = self.node_state.pending_commands.commands.get(key)
+        command = self.node_state.pending_commands.get(key)
         if command is None and own.proposal == key:
             return own.command
         return command
 
-    def _count(self, verdict):
-        stats = self.node_state.stats
-        stats["voted"] += 1
-        stats["fast"] += verdict.phase == 1
-        stats["phases"] += verdict.phase
+    # Bodies of commands
 
-    def _resend(self, now, plan):
-        node_state = self.node_state
-        if (
-            node_state.own_ballot_state is not None
-            and node_state.is_voter
-            and now - self.sent_at >= node_state.tuning.resend
-        ):
-            self.sent_at = now
-            plan.sends += [
-                (address, replace(node_state.own_ballot_state, again=True))
-                for address in node_state.other_addresses()
-            ]
+    def _request_proposed_body(self, others: list[BallotState], now: int, plan: Plan) -> None:
+        """Request the body of a command that others propose, so it can be proposed here too."""
+        keys = [ballot_state.proposal for ballot_state in others if ballot_state.proposal]
+        if keys:
+            self._request_body(keys[0], now, plan)
+
+    def _request_body(self, key: str, now: int, plan: Plan) -> None:
+        """Request a command's body from all other voters, at most twice per resend interval."""
+        if now - self.body_requested_at < self.node_state.tuning.resend_interval_us // 2:
+            return
+        self.body_requested_at = now
+        request = CatchupRequest(self.node_state.tables.slot, key)
+        plan.sends += [(address, request) for address in self.node_state.other_addresses()]
+
+
+def _is_ballot_state_of(message: object, slot: int) -> TypeGuard[BallotState]:
+    return isinstance(message, BallotState) and message.slot == slot
+
+
+def _replace_if_longer(known: dict[str, BallotState], ballot_state: BallotState) -> None:
+    """Keep the newer of two ballot states of one replica and slot; a newer one extends the older.
+
+    Bodies are kept in the queue of pending commands alone.
+    """
+    before = known.get(ballot_state.identity)
+    if before is None or _length(ballot_state) > _length(before):
+        known[ballot_state.identity] = replace(ballot_state, command=None)
+
+
+def _length(ballot_state: BallotState) -> int:
+    return len(ballot_state.states) + len(ballot_state.votes)
--- a/src/willowpost/consensus/stages.py
+++ b/src/willowpost/consensus/stages.py
@@ -1,6 +1,8 @@
 """The stages of Weak-MVC within one slot, and the values that states and votes take."""
 
+from collections.abc import Mapping, Sequence
 from enum import Enum, IntEnum
+from types import MappingProxyType
 
 
 class BallotValue(IntEnum):
@@ -12,7 +14,7 @@
 
 
 class Stage(Enum):
-    """Where a replica stands in its open slot; the transitions are in `NEXT`.
+    """Where a replica stands in its open slot; the transitions are in `STAGE_TRANSITIONS`.
 
     EXCHANGE collects proposals, STATE collects the states and VOTE the votes of the current phase.
     """
@@ -24,19 +26,25 @@
 
 
 # What may follow what (Algorithm 2): a vote round ends the slot or opens the next phase.
-NEXT = {
-    Stage.EXCHANGE: {Stage.STATE},
-    Stage.STATE: {Stage.VOTE},
-    Stage.VOTE: {Stage.STATE, Stage.DECIDED},
-    Stage.DECIDED: set(),
-}
+STAGE_TRANSITIONS: Mapping[Stage, frozenset[Stage]] = MappingProxyType(
+    {
+        Stage.EXCHANGE: frozenset({Stage.STATE}),
+        Stage.STATE: frozenset({Stage.VOTE}),
+        Stage.VOTE: frozenset({Stage.STATE, Stage.DECIDED}),
+        Stage.DECIDED: frozenset(),
+    }
+)
 
 
-def stage_of(states, votes) -> Stage:
+def stage_of(states: Sequence[int], votes: Sequence[int]) -> Stage:
     """Return the stage of an undecided slot.
 
     Args:
         states: the replica's states so far, one per phase.
         votes: the replica's votes so far, one per phase; as many as the states or one fewer.
     """
-    return Stage.EXCHANGE if not states else Stage.STATE if len(votes) < len(states) else Stage.VOTE
+    if not states:
+        return Stage.EXCHANGE
+    if len(votes) < len(states):
+        return Stage.STATE
+    return Stage.VOTE
--- a/src/willowpost/consensus/thresholds.py
+++ b/src/willowpost/consensus/thresholds.py
@@ -1,14 +1,15 @@
-"""The quorum sizes of Rabia.
-
-n is the number of voters of the epoch in force; f is how many of them may fail.
-"""
+"""The quorum sizes of Rabia (Algorithm 2), for n voters of which f may fail."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Thresholds:
-    """Quorum sizes for n voters; n >= 2f + 1, so any two sets of n - f share a voter."""
+    """Quorum sizes for n voters; n >= 2f + 1, so any two sets of n - f share a voter.
+
+    Attributes:
+        n: the number of voters of the epoch in force.
+    """
 
     n: int
 
@@ -19,7 +20,7 @@
 
     @property
     def quorum(self) -> int:
-        """How many voters must have been heard before a step is taken (paper: n - f)."""
+        """From how many voters messages must have arrived before a step (paper: n - f)."""
         return self.n - self.f
 
     @property
--- a/tests/consensus/test_bootstrap_fault_schedules.py
+++ b/tests/consensus/test_bootstrap_fault_schedules.py
@@ -72,9 +72,7 @@
                     self.assertIsNotNone(first_broken(range(20), thresholds=thresholds, **shape))
 
     def test_saying_accepted_too_early_is_caught(self):
-        with patch(
-            "willowpost.consensus.replica.replica_state.ReplicaState.safe_slot", lambda self: 10**9
-        ):
+        with patch("willowpost.consensus.replica.barrier.safe_slot", lambda self: 10**9):
             self.assertIn("disks holding it", first_broken(range(10), **ALONE))
 
 
--- a/tests/consensus/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -7,7 +7,7 @@
 from tests.support.entries import member
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.node.follower import Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.shell.segment_format import segment_of
@@ -102,7 +102,7 @@
         return core
 
     def test_it_takes_the_snapshot_in_pieces_and_then_the_log(self):
-        pace = ReplicaTuning(keep=8, rotate=16)
+        pace = ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16)
         for lose_disk in (False, True):
             core = self.away(50, pace, lose_disk)
             self.assertIsNotNone(core.caught_up("s2"), lose_disk)
@@ -122,7 +122,14 @@
         return partial
 
     def test_another_source_finishes_what_one_that_died_began(self):
-        core, told = self.away(50, ReplicaTuning(keep=8, rotate=16), texts_held=True), []
+        core, told = (
+            self.away(
+                50,
+                ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16),
+                texts_held=True,
+            ),
+            [],
+        )
         core.world.checks.append(
             lambda world, seat, event, plan: told.extend(
                 (seat.address, message.piece.slot, message.piece.offset)
@@ -143,14 +150,14 @@
 
     def test_a_source_that_is_cut_off_half_way_holds_nobody_up(self):
         for source in ("s0", "s1"):
-            core = self.away(50, ReplicaTuning(keep=8, rotate=16))
+            core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
             self.begun(core)
             core.world.cut([source], ["s2"])
             core.change(3)
             self.assertIsNotNone(core.caught_up("s2"), source)
 
     def test_killed_at_any_piece_it_starts_from_its_disk_and_takes_the_snapshot_anew(self):
-        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
         for parts in (1, 2):
             self.begun(core, parts)
             core.world.crash("s2")
@@ -159,7 +166,7 @@
         core.world.settle(3)
 
     def test_killed_while_the_snapshot_is_written_it_has_the_old_disk_or_the_new(self):
-        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
         seat = core.world.seats["s2"]
         seat.crash_on_write = 1.0  # whatever it writes first is lost, and with it this life
         self.assertTrue(core.world.until(lambda: seat.node is None, seconds(5)))
@@ -170,7 +177,7 @@
 
     def test_slow_and_stalled_disks_delay_it_and_no_more(self):
         for trouble in ({"slowness": 30}, {"stalled_until": None}):
-            core = self.away(50, ReplicaTuning(keep=8, rotate=16))
+            core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
             for name in ("s0", "s2"):  # the one that writes the snapshot, and a source
                 disk = core.world.seats[name].disk
                 if "slowness" in trouble:
@@ -180,7 +187,7 @@
             self.assertIsNotNone(core.caught_up("s2", 20), trouble)
 
     def test_a_text_is_made_once_for_all_that_are_behind(self):
-        core = self.away(50, ReplicaTuning(keep=8, rotate=16))
+        core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
         made = []
         tables = type(core.world.seats["s0"].node.node_state.tables)
         text = tables.text
@@ -258,7 +265,7 @@
 
 class Bounded(unittest.TestCase):
     def test_disk_and_log_do_not_grow_with_the_number_of_changes(self):
-        pace = ReplicaTuning(keep_bytes=2 * 1024 * 1024, rotate_bytes=4 * 1024 * 1024)
+        pace = ReplicaTuning(max_retained_bytes=2 * 1024 * 1024, max_segment_bytes=4 * 1024 * 1024)
         core, sizes = LargeCore(3, pace), []
         for _ in range(3):
             core.change(12)
--- a/tests/consensus/test_core_fault_schedules.py
+++ b/tests/consensus/test_core_fault_schedules.py
@@ -51,9 +51,7 @@
         self.assertRegex(text, "unsaid|disks|elsewhere")
 
     def test_saying_accepted_too_early_is_caught(self):
-        with patch(
-            "willowpost.consensus.replica.replica_state.ReplicaState.safe_slot", lambda self: 10**9
-        ):
+        with patch("willowpost.consensus.replica.barrier.safe_slot", lambda self: 10**9):
             _, text = first_broken(range(10))
         self.assertIn("disks holding it", text)
 
--- a/tests/consensus/test_core_growth.py
+++ b/tests/consensus/test_core_growth.py
@@ -190,7 +190,7 @@
 
     def test_without_the_barrier_a_reader_misses_what_was_accepted(self):
         with (
-            patch.object(Voting, "_opened", lambda self, plan: True),
+            patch.object(Voting, "_open_slot", lambda self, plan: True),
             self.assertRaisesRegex(Broken, "calls itself whole"),
         ):
             for seed in range(5):
--- a/tests/consensus/test_epoch_barrier.py
+++ b/tests/consensus/test_epoch_barrier.py
@@ -5,6 +5,7 @@
 
 from tests.support.entries import daemon_entry
 from willowpost.common.events import Received, Tick
+from willowpost.consensus.replica import barrier, restoration
 from willowpost.consensus.replica.barrier import is_passed, quorum_index
 from willowpost.consensus.replica.records import ballot_state_record, identity_record
 from willowpost.consensus.replica.replica_state import ReplicaState
@@ -67,11 +68,11 @@
     def test_nothing_of_the_slot_of_the_change_is_accepted_before(self):
         node_state = replica()
         node_state.record_synced_index("D", FIRST)
-        self.assertEqual(0, node_state.safe_slot())
+        self.assertEqual(0, barrier.safe_slot(node_state))
         node_state.record_synced_index("C", FIRST - 1)
-        self.assertEqual(FIRST - 1, node_state.safe_slot())
+        self.assertEqual(FIRST - 1, barrier.safe_slot(node_state))
         node_state.record_synced_index("B", FIRST)
-        self.assertEqual(FIRST, node_state.safe_slot())
+        self.assertEqual(FIRST, barrier.safe_slot(node_state))
 
     def test_a_ballot_state_of_the_first_slot_says_that_its_sender_passed(self):
         node_state = replica()
@@ -145,7 +146,7 @@
         ]
         for kept, states in ((4, (1,)), (3, ())):
             node_state = ReplicaState(Member("A", "A", "a", "A"))
-            node_state.restore(whole[:kept], 0)
+            restoration.restore_state(node_state, whole[:kept], 0)
             self.assertEqual(
                 ("x/1/1", states, "[]"),
                 (
--- a/tests/consensus/test_voter_replacement.py
+++ b/tests/consensus/test_voter_replacement.py
@@ -9,22 +9,18 @@
 
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica import barrier
-from willowpost.consensus.replica.barrier import (
-    FormerVoter,
-    first_slot,
-    previous_identities,
-    quorum_index,
-)
-from willowpost.consensus.replica.missed_change import MissedChange
+from willowpost.consensus.replica.barrier import quorum_index
+from willowpost.consensus.replica.epoch_discovery import EpochDiscovery
+from willowpost.consensus.replica.previous_voter import PreviousVoter
 from willowpost.sim.scripted_core import ScriptedCore
 from willowpost.sim.world import seconds
 from willowpost.store.graceful_shutdown import StoreShutdown
 
 
-def only_former(node_state):
+def holds_previous_quorum(node_state):
     """The barrier as it was: n - f of the former voters, the one that was put out among them."""
-    held = quorum_index(previous_identities(node_state.tables), node_state.synced_indexes)
-    return held >= first_slot(node_state.tables)
+    index = quorum_index(node_state.tables.previous_voter_identities(), node_state.synced_indexes)
+    return index >= node_state.tables.epoch_first_slot()
 
 
 class ReplacedWhileTheRestLags(unittest.TestCase):
@@ -57,7 +53,7 @@
 
     def test_as_it_was_the_epoch_opens_and_the_next_loss_takes_what_was_accepted(self):
         world = self.world
-        with patch.object(barrier, "holds_both_quorums", only_former):
+        with patch.object(barrier, "holds_both_quorums", holds_previous_quorum):
             self.assertTrue(world.until(lambda: world.state("s0").passed_epoch == 2, seconds(1)))
             world.take_away("s0", "s2")
             world.heal()
@@ -110,7 +106,7 @@
 
     def test_without_being_told_by_the_newcomer_the_one_that_lagged_stays_behind(self):
         world = self.lagging(("a", "b", "c", "c"))
-        with patch.object(MissedChange, "step", lambda self, event, now: Plan()):
+        with patch.object(EpochDiscovery, "step", lambda self, event, now: Plan()):
             self.leave_then_lose(world)
         self.assertEqual({"s0", "s1", "s2"}, world.voters("s1"))
 
@@ -151,9 +147,9 @@
                 first = world.lose_first_index("s2")
                 world.blocked.remove(withheld)
                 with patch.object(
-                    FormerVoter,
+                    PreviousVoter,
                     "step",
-                    (lambda self, event, now: Plan()) if switched_off else FormerVoter.step,
+                    (lambda self, event, now: Plan()) if switched_off else PreviousVoter.step,
                 ):
                     self.assertTrue(world.until_epoch("s0", 2))
                     world.run(seconds(0.5))
--- a/tests/consensus/test_weakmvc.py
+++ b/tests/consensus/test_weakmvc.py
@@ -1,4 +1,4 @@
-"""Weak-MVC in a small model: any order of hearing.
+"""Weak-MVC in a small model: messages arrive in any order.
 
 Then a herd restart that leaves only what each has on disk, and one disk gone.
 """
@@ -7,43 +7,43 @@
 import unittest
 from dataclasses import replace
 
-from willowpost.consensus.stages import NEXT, BallotValue, stage_of
+from willowpost.consensus.stages import STAGE_TRANSITIONS, BallotValue, stage_of
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.consensus.weakmvc import Verdict, WeakMvc, agreed_proposal
 from willowpost.wire.messages import BallotState
 
 
 class Model:
-    """Invariant: `disk[i]` is what replica i said last; `heard[i]` only what has come to it so far."""
+    """Invariant: `disk[i]` is replica i's last ballot state; `received[i]` what has come to it."""
 
     def __init__(self, seed, n=5):
-        self.chance = random.Random(seed)
-        self.limits, self.mvc = Thresholds(n), WeakMvc()
+        self.random = random.Random(seed)
+        self.thresholds, self.mvc = Thresholds(n), WeakMvc()
         self.disk = {
-            f"r{number}": BallotState(f"r{number}", 1, seed, self.chance.choice("XXYZ"))
+            f"r{number}": BallotState(f"r{number}", 1, seed, self.random.choice("XXYZ"))
             for number in range(n)
         }
-        self.heard = {name: {name: ballot_state} for name, ballot_state in self.disk.items()}
+        self.received = {name: {name: ballot_state} for name, ballot_state in self.disk.items()}
         self.verdicts = {}
 
-    def hear(self, listener, speaker):
-        self.heard[listener][speaker] = self.disk[speaker]
+    def deliver(self, receiver, sender):
+        self.received[receiver][sender] = self.disk[sender]
 
     def step(self, name):
         before = self.disk[name]
-        moved = self.mvc.step(before, self.heard[name], self.limits)
+        moved = self.mvc.step(before, self.received[name], self.thresholds)
         if isinstance(moved, Verdict):
             self.verdicts[name] = moved.value
         elif moved is not None:
-            self.disk[name] = self.heard[name][name] = moved
+            self.disk[name] = self.received[name][name] = moved
         return before, moved
 
     def run(self, steps, names):
         for _ in range(steps):
-            listener, speaker = self.chance.choice(names), self.chance.choice(names)
-            self.hear(listener, speaker)
-            if listener not in self.verdicts:
-                yield self.step(listener)
+            receiver, sender = self.random.choice(names), self.random.choice(names)
+            self.deliver(receiver, sender)
+            if receiver not in self.verdicts:
+                yield self.step(receiver)
 
 
 class WeakMvcTests(unittest.TestCase):
@@ -54,7 +54,7 @@
                 if isinstance(moved, BallotState):
                     self.assertIn(
                         stage_of(moved.states, moved.votes),
-                        NEXT[stage_of(before.states, before.votes)],
+                        STAGE_TRANSITIONS[stage_of(before.states, before.votes)],
                     )
                     self.assertTrue(moved.agreed or 1 not in moved.states + moved.votes)
             # who is left behind when the others have decided is told the decision; that is
@@ -65,43 +65,43 @@
         named = 0
         for seed in range(400):
             model = Model(seed)
-            list(model.run(model.chance.randrange(40, 200), list(model.disk)))
+            list(model.run(model.random.randrange(40, 200), list(model.disk)))
             if BallotValue.ONE not in model.verdicts.values():
                 continue
-            for gone in model.disk:
+            for lost in model.disk:
                 left = {
-                    name: ballot_state for name, ballot_state in model.disk.items() if name != gone
+                    name: ballot_state for name, ballot_state in model.disk.items() if name != lost
                 }
                 named += 1
-                self.assertIsNotNone(agreed_proposal(left, model.limits), (seed, gone, left))
+                self.assertIsNotNone(agreed_proposal(left, model.thresholds), (seed, lost, left))
         self.assertGreater(named, 300)
 
     def test_without_the_agreed_name_it_could_not(self):
         unnamed = 0
         for seed in range(400):
             model = Model(seed)
-            list(model.run(model.chance.randrange(40, 200), list(model.disk)))
+            list(model.run(model.random.randrange(40, 200), list(model.disk)))
             if BallotValue.ONE in model.verdicts.values():
                 unnamed += any(
                     agreed_proposal(
                         {
                             name: replace(ballot_state, agreed="")
                             for name, ballot_state in model.disk.items()
-                            if name != gone
+                            if name != lost
                         },
-                        model.limits,
+                        model.thresholds,
                     )
                     is None
-                    for gone in model.disk
+                    for lost in model.disk
                 )
         self.assertGreater(unnamed, 0)
 
     def test_thresholds_are_the_papers_for_any_n(self):
         for n in range(1, 12):
-            limits = Thresholds(n)
+            thresholds = Thresholds(n)
             self.assertEqual(
                 ((n - 1) // 2, n - (n - 1) // 2, n // 2 + 1, (n - 1) // 2 + 1),
-                (limits.f, limits.quorum, limits.majority, limits.deciding_votes),
+                (thresholds.f, thresholds.quorum, thresholds.majority, thresholds.deciding_votes),
             )
 
 
