--- a/src/willowpost/consensus/replica/catchup.py
+++ b/src/willowpost/consensus/replica/catchup.py
@@ -195,8 +195,8 @@
     def _request_from_next_source(self, now: int, plan: Plan) -> None:
         sources = self._sources()
         if sources:
-            turn = now // self.node_state.tuning.catchup_interval_us
-            self._request(sources[turn % len(sources)], now, plan)
+            interval_count = now // self.node_state.tuning.catchup_interval_us
+            self._request(sources[interval_count % len(sources)], now, plan)
 
     def _sources(self) -> list[str]:
         """Return addresses of the other voters with the highest synced indexes, best first."""
--- a/src/willowpost/state/apply/command_history.py
+++ b/src/willowpost/state/apply/command_history.py
@@ -47,13 +47,13 @@
 ) -> CommandHistory:
     if history is None or history.incarnation < command.incarnation:
         history = CommandHistory(command.incarnation, floor=0, results={})
-    kept = {**history.results, command.counter: recorded}
+    results = {**history.results, command.counter: recorded}
     floor = history.floor
-    while len(kept) > MAX_RECORDED_RESULTS:
-        lowest = min(kept)
+    while len(results) > MAX_RECORDED_RESULTS:
+        lowest = min(results)
         floor = max(floor, lowest)
-        del kept[lowest]
-    return CommandHistory(command.incarnation, floor, kept)
+        del results[lowest]
+    return CommandHistory(command.incarnation, floor, results)
 
 
 def _bounded(tables: Tables) -> Tables:
@@ -72,7 +72,7 @@
     oldest = min(absent, key=lambda name: (histories[name].last_slot(), name))
     return replace(
         tables,
-        command_histories={name: kept for name, kept in histories.items() if name != oldest},
+        command_histories={name: history for name, history in histories.items() if name != oldest},
         forgotten_incarnation=max(tables.forgotten_incarnation, histories[oldest].incarnation),
     )
 
--- a/src/willowpost/state/apply/purges.py
+++ b/src/willowpost/state/apply/purges.py
@@ -19,6 +19,6 @@
     purges, floor = (*tables.purges, entry), tables.purge_floor
     if len(purges) > MAX_PURGES:
         floor = purges[-MAX_PURGES - 1].slot + 1
-        purges = tuple(kept for kept in purges if kept.slot >= floor)
+        purges = tuple(known for known in purges if known.slot >= floor)
     after = replace(tables, purges=purges, purge_floor=floor)
     return Transition(after, PurgeAccepted(tables.slot))
--- a/src/willowpost/state/entries.py
+++ b/src/willowpost/state/entries.py
@@ -1,13 +1,13 @@
 """The entries of the replicated tables, as immutable values.
 
-Their names in stored and transferred JSON stand in `state/codec.py` alone.
+Their names in stored and transferred JSON stand in `state/codec/` alone.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 from typing import Any
 
-from willowpost.state.lifecycle import DaemonState, OriginState
+from willowpost.state.lifecycle import STATES_IN_FORCE, DaemonState, OriginState
 from willowpost.state.results import Result
 from willowpost.wire.messages import Member
 
@@ -126,7 +126,7 @@
     @property
     def is_in_force(self) -> bool:
         """Whether it takes new requests, unless its zone is evacuated."""
-        return self.state in (OriginState.WARMING_UP, OriginState.WARM)
+        return self.state in STATES_IN_FORCE
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/willowpost/state/lifecycle.py
+++ b/src/willowpost/state/lifecycle.py
@@ -43,4 +43,4 @@
         OriginState.GONE: frozenset(),
     }
 )
-STATES_IN_FORCE = (OriginState.WARMING_UP, OriginState.WARM)  # these take new requests
+STATES_IN_FORCE = frozenset({OriginState.WARMING_UP, OriginState.WARM})  # take new requests
--- a/src/willowpost/state/operations.py
+++ b/src/willowpost/state/operations.py
@@ -1,6 +1,6 @@
 """The operations that the log applies to the tables, as immutable values.
 
-Their names in stored and transferred JSON stand in `state/codec.py` alone.
+Their names in stored and transferred JSON stand in `state/codec/` alone.
 """
 
 from dataclasses import dataclass
--- a/src/willowpost/state/snapshot_transfer.py
+++ b/src/willowpost/state/snapshot_transfer.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.slot = NO_SLOT
         self.text = ""
-        self.requested_at = 0
+        self.requested_at = 0  # µs, own clock
 
     def chunk(
         self,
@@ -81,7 +81,7 @@
         self.slot = NO_SLOT
         self.total = 0
         self.received = 0
-        self.progress_at = 0
+        self.progress_at = 0  # µs, own clock
         self.chunks: list[str] = []
 
     def request(self) -> SnapshotRequest | None:
--- a/src/willowpost/state/tables.py
+++ b/src/willowpost/state/tables.py
@@ -1,7 +1,7 @@
 """The state that results from the decided log; immutable, replaced as a whole."""
 
 import json
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -96,8 +96,8 @@
     def as_json(self) -> dict[str, Any]:
         """Return the JSON object of the snapshot."""
         stored = {
-            name: encode(getattr(self, attribute))
-            for attribute, (name, encode, _) in STORED_TABLES.items()
+            table.name: table.encode(getattr(self, attribute))
+            for attribute, table in STORED_TABLES.items()
         }
         return {**stored, FORMAT_NAME: SNAPSHOT_FORMAT}
 
@@ -125,82 +125,81 @@
             raise UnknownFormatError("snapshot", found, SNAPSHOT_FORMAT)
         return Tables(
             **{
-                attribute: decode(stored[name])
-                for attribute, (name, _, decode) in STORED_TABLES.items()
-                if name in stored
+                attribute: table.decode(stored[table.name])
+                for attribute, table in STORED_TABLES.items()
+                if table.name in stored
             }
         )
 
 
-Stored = tuple[str, Callable[[Any], Any], Callable[[Any], Any]]
-
-
-def _plain(name: str) -> Stored:
-    return name, lambda value: value, lambda stored: stored
-
-
-def _mapping(name: str, records: codec.RecordCodec[Any]) -> Stored:
-    return (
+def _mapping(name: str, records: codec.RecordCodec[Any]) -> codec.StoredField:
+    return codec.StoredField(
         name,
-        lambda table: {key: records.encode(entry) for key, entry in table.items()},
-        lambda stored: {key: records.decode(entry) for key, entry in stored.items()},
+        encode=lambda table: {key: records.encode(entry) for key, entry in table.items()},
+        decode=lambda stored: {key: records.decode(entry) for key, entry in stored.items()},
     )
 
 
-def _sequence(name: str, records: codec.RecordCodec[Any]) -> Stored:
-    return (
+def _sequence(name: str, records: codec.RecordCodec[Any]) -> codec.StoredField:
+    return codec.StoredField(
         name,
-        lambda entries: [records.encode(entry) for entry in entries],
-        lambda stored: tuple(records.decode(entry) for entry in stored),
+        encode=lambda entries: [records.encode(entry) for entry in entries],
+        decode=lambda stored: tuple(records.decode(entry) for entry in stored),
     )
 
 
-def _previous_voters_from(stored: dict[str, Any]) -> PreviousVoters | None:
+def _encode_previous_voters(previous: PreviousVoters | None) -> dict[str, Any]:
+    return codec.PREVIOUS_VOTERS.encode(previous) if previous else {}
+
+
+def _decode_previous_voters(stored: dict[str, Any]) -> PreviousVoters | None:
     return codec.PREVIOUS_VOTERS.decode(stored) if stored else None
 
 
-# attribute of `Tables` -> its name in the text, and how it is written and read
-STORED_TABLES: Mapping[str, Stored] = {
-    "slot": _plain("slot"),
-    "epoch": _plain("epoch"),
+def _encode_suspicions(suspicions: dict[str, frozenset[str]]) -> dict[str, Any]:
+    return {target: dict.fromkeys(sorted(names), True) for target, names in suspicions.items()}
+
+
+def _decode_suspicions(stored: dict[str, Any]) -> dict[str, frozenset[str]]:
+    return {target: frozenset(names) for target, names in stored.items()}
+
+
+def _encode_histories(histories: dict[str, CommandHistory]) -> dict[str, Any]:
+    return {name: codec.encode_command_history(history) for name, history in histories.items()}
+
+
+def _decode_histories(stored: dict[str, Any]) -> dict[str, CommandHistory]:
+    return {name: codec.decode_command_history(history) for name, history in stored.items()}
+
+
+# How each attribute of `Tables` stands in the text.
+STORED_TABLES: Mapping[str, codec.StoredField] = {
+    "slot": codec.StoredField("slot"),
+    "epoch": codec.StoredField("epoch"),
     "voters": _sequence("core", codec.MEMBER),
-    "previous_voters": (
-        "former",
-        lambda previous: codec.PREVIOUS_VOTERS.encode(previous) if previous else {},
-        _previous_voters_from,
+    "previous_voters": codec.StoredField(
+        "former", encode=_encode_previous_voters, decode=_decode_previous_voters
     ),
     "daemons": _mapping("daemons", codec.DAEMON),
-    "suspicions": (
-        "suspicions",
-        lambda table: {key: dict.fromkeys(sorted(names), True) for key, names in table.items()},
-        lambda stored: {key: frozenset(names) for key, names in stored.items()},
+    "suspicions": codec.StoredField(
+        "suspicions", encode=_encode_suspicions, decode=_decode_suspicions
     ),
-    "configuration": (
-        "configuration",
-        codec.CONFIGURATION.encode,
-        codec.CONFIGURATION.decode,
+    "configuration": codec.StoredField(
+        "configuration", encode=codec.CONFIGURATION.encode, decode=codec.CONFIGURATION.decode
     ),
     "origins": _mapping("origins", codec.ORIGIN),
     "address_bindings": _mapping("bound", codec.ADDRESS_BINDING),
     "purges": _sequence("purges", codec.PURGE),
-    "purge_floor": _plain("purge_floor"),
+    "purge_floor": codec.StoredField("purge_floor"),
     "zone_evacuations": _mapping("zones", codec.ZONE_EVACUATION),
     "ownerships": _mapping("fences", codec.OWNERSHIP),
     "failure_verdicts": _sequence("failure_verdicts", codec.FAILURE_VERDICT),
-    "command_histories": (
-        "seen",
-        lambda table: {
-            name: codec.encode_command_history(history) for name, history in table.items()
-        },
-        lambda stored: {
-            name: codec.decode_command_history(history) for name, history in stored.items()
-        },
+    "command_histories": codec.StoredField(
+        "seen", encode=_encode_histories, decode=_decode_histories
     ),
-    "forgotten_incarnation": _plain("seen_floor"),
-    "ended_tokens": ("ended", list, tuple),
-    "configuration_changes": (
-        "changes",
-        lambda changes: changes.as_rows(),
-        ChangeLog.from_rows,
+    "forgotten_incarnation": codec.StoredField("seen_floor"),
+    "ended_tokens": codec.StoredField("ended", encode=list, decode=tuple),
+    "configuration_changes": codec.StoredField(
+        "changes", encode=ChangeLog.as_rows, decode=ChangeLog.from_rows
     ),
 }
