--- a/src/willowpost/consensus/replica/voting.py
+++ b/src/willowpost/consensus/replica/voting.py
@@ -1,14 +1,13 @@
 """Algorithm 1 of Rabia: decides one slot after the other by Weak-MVC, without a leader."""
 
-from dataclasses import replace
-from typing import Any, TypeGuard
+from typing import Any
 
 from willowpost.common.events import Received, Tick
 from willowpost.common.plan import Plan
+from willowpost.consensus.replica.ballot_exchange import BallotExchange
 from willowpost.consensus.replica.barrier import is_passed
 from willowpost.consensus.replica.records import (
     BarrierPassedRecord,
-    ballot_state_record,
     encode_record,
 )
 from willowpost.consensus.replica.replica_state import ReplicaState
@@ -23,19 +22,14 @@
     SubmitCommand,
 )
 
-MAX_EARLY_SLOTS = 64  # beyond the open one, whose ballot states are kept
-
 
 class Voting:
-    """Proposes commands and votes.
-
-    A ballot state is sent only in the plan that first writes it to disk, or in a later one.
-    """
+    """Proposes commands, votes on the open slot and commits its decision."""
 
     def __init__(self, node_state: ReplicaState):
         self.node_state = node_state
         self.mvc = WeakMvc()
-        self.sent_at = 0  # the own ballot state; µs, own clock
+        self.exchange = BallotExchange(node_state)
         self.body_requested_at = 0  # µs, own clock
 
     def step(self, event: Any, now: int) -> Plan:
@@ -43,7 +37,7 @@
         plan = Plan()
         match event:
             case Received(_, BallotState() as ballot_state):
-                self._record_ballot_state(ballot_state, now)
+                self._receive_ballot_state(ballot_state, now)
             case Received(_, ForwardCommand(command)):
                 self._enqueue(command, now)
             case Received(_, SubmitCommand(command)):
@@ -51,7 +45,7 @@
             case Received(_, CatchupResponse(command=command)) if command is not None:
                 self._enqueue(command, now)
             case Tick():
-                self._resend_if_due(now, plan)
+                self.exchange.resend_if_due(now, plan)
         while self.node_state.is_voter and self._advance(now, plan):
             pass
         return plan
@@ -69,26 +63,11 @@
             forward = ForwardCommand(command)
             plan.sends += [(address, forward) for address in self.node_state.other_addresses()]
 
-    def _record_ballot_state(self, ballot_state: BallotState, now: int) -> None:
-        """Record another replica's ballot state of the open slot or of a later one.
-
-        Its command is queued here as well, so that a replica without commands proposes the same.
-        """
-        node_state, slot = self.node_state, self.node_state.tables.slot
-        is_voter = ballot_state.identity in node_state.voter_addresses
+    def _receive_ballot_state(self, ballot_state: BallotState, now: int) -> None:
+        """Record a ballot state; its command is queued, so that this replica proposes the same."""
         if ballot_state.command is not None:
             self._enqueue(ballot_state.command, now)
-        if is_voter:
-            node_state.record_synced_index(ballot_state.identity, ballot_state.slot)
-        if slot < ballot_state.slot < slot + MAX_EARLY_SLOTS:
-            early = node_state.early_ballot_states.setdefault(ballot_state.slot, {})
-            _replace_if_longer(early, ballot_state)
-        elif (
-            ballot_state.slot == slot and is_voter and ballot_state.epoch == node_state.tables.epoch
-        ):
-            if not node_state.ballot_states:
-                node_state.ballot_states_since = now
-            _replace_if_longer(node_state.ballot_states, ballot_state)
+        self.exchange.record(ballot_state, now)
 
     # The open slot
 
@@ -103,7 +82,7 @@
             return False
         if isinstance(result, Verdict):
             return self._decide(result, own, now, plan)
-        self._adopt_ballot_state(result, now, plan, is_first=False)
+        self.exchange.adopt(result, now, plan, is_first=False)
         return True
 
     def _propose(self, now: int, plan: Plan) -> bool:
@@ -127,7 +106,7 @@
             queued_at = node_state.pending_commands.queued_at(command.key)
             if now - queued_at < tuning.proposal_delay_us:
                 return False
-        self._adopt_ballot_state(self._proposal_of(command), now, plan, is_first=True)
+        self.exchange.adopt(self._proposal_of(command), now, plan, is_first=True)
         return True
 
     def _proposal_of(self, command: Command | None) -> BallotState:
@@ -165,52 +144,6 @@
             plan.records.append(encode_record(BarrierPassedRecord(tables.epoch)))
         return True
 
-    # The own ballot state
-
-    def _adopt_ballot_state(
-        self, ballot_state: BallotState, now: int, plan: Plan, is_first: bool
-    ) -> None:
-        """Make this the own ballot state: write it to disk and send it.
-
-        Only the slot's first one carries the command's body.
-        """
-        node_state = self.node_state
-        without_body = replace(ballot_state, command=None)
-        node_state.own_ballot_state = ballot_state
-        node_state.ballot_states[node_state.member.identity] = without_body
-        plan.records.append(ballot_state_record(ballot_state, with_command=is_first))
-        self._broadcast(ballot_state if is_first else without_body, now, plan)
-
-    def _broadcast(self, ballot_state: BallotState, now: int, plan: Plan) -> None:
-        """Send the ballot state to all others, in place of an earlier one of this plan and slot.
-
-        The earlier one may carry the command's body, which is then sent with this one.
-        """
-        self.sent_at = now
-        superseded = [
-            message for _, message in plan.sends if _is_ballot_state_of(message, ballot_state.slot)
-        ]
-        body = next(
-            (message.command for message in superseded if message.command), ballot_state.command
-        )
-        plan.sends = [
-            (address, message)
-            for address, message in plan.sends
-            if not _is_ballot_state_of(message, ballot_state.slot)
-        ]
-        newest = replace(ballot_state, command=body)
-        plan.sends += [(address, newest) for address in self.node_state.other_addresses()]
-
-    def _resend_if_due(self, now: int, plan: Plan) -> None:
-        node_state = self.node_state
-        own = node_state.own_ballot_state
-        is_due = now - self.sent_at >= node_state.tuning.resend_interval_us
-        if own is None or not node_state.is_voter or not is_due:
-            return
-        self.sent_at = now
-        resent = replace(own, again=True)
-        plan.sends += [(address, resent) for address in node_state.other_addresses()]
-
     # The decision
 
     def _decide(self, verdict: Verdict, own: BallotState, now: int, plan: Plan) -> bool:
@@ -256,21 +189,3 @@
         self.body_requested_at = now
         request = CatchupRequest(self.node_state.tables.slot, key)
         plan.sends += [(address, request) for address in self.node_state.other_addresses()]
-
-
-def _is_ballot_state_of(message: object, slot: int) -> TypeGuard[BallotState]:
-    return isinstance(message, BallotState) and message.slot == slot
-
-
-def _replace_if_longer(known: dict[str, BallotState], ballot_state: BallotState) -> None:
-    """Keep the newer of two ballot states of one replica and slot; a newer one extends the older.
-
-    Bodies are kept in the queue of pending commands alone.
-    """
-    before = known.get(ballot_state.identity)
-    if before is None or _length(ballot_state) > _length(before):
-        known[ballot_state.identity] = replace(ballot_state, command=None)
-
-
-def _length(ballot_state: BallotState) -> int:
-    return len(ballot_state.states) + len(ballot_state.votes)
