--- a/tests/consensus/test_bootstrap_fault_schedules.py
+++ b/tests/consensus/test_bootstrap_fault_schedules.py
@@ -71,7 +71,7 @@
                 with self.subTest(thresholds=thresholds.__name__, shape=shape):
                     self.assertIsNotNone(first_broken(range(20), thresholds=thresholds, **shape))
 
-    def test_saying_accepted_too_early_is_caught(self):
+    def test_acknowledging_too_early_is_caught(self):
         with patch("willowpost.consensus.replica.barrier.safe_slot", lambda self: 10**9):
             self.assertIn("disks holding it", first_broken(range(10), **ALONE))
 
--- a/tests/consensus/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -50,6 +50,9 @@
                 self.largest = max(self.largest, len(CODEC.encode(seat.address, message)))
 
 
+SHORT_LOG = ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16)
+
+
 class LargeCore:
     """Three stores that take large configurations one after the other."""
 
@@ -87,12 +90,12 @@
 class MissedSlots(unittest.TestCase):
     """A member away for longer than the kept log and more than one snapshot."""
 
-    def away(self, changes, pace, lose_disk=False, texts_held=False):
+    def away(self, changes, pace, lose_disk=False, snapshots_cached=False):
         core = LargeCore(7, pace)
         core.change(3)
         core.world.crash("s2", lose_disk=lose_disk)
         core.change(changes)
-        if texts_held:  # both others have just served the snapshot of one slot to somebody
+        if snapshots_cached:  # both others have just served the snapshot of one slot to somebody
             self.assertEqual(core.slot("s0"), core.slot("s1"))
             for seat, state in core.world.node_states():
                 now = core.world.now(seat)
@@ -101,37 +104,30 @@
         core.world.start("s2")
         return core
 
-    def test_it_takes_the_snapshot_in_pieces_and_then_the_log(self):
-        pace = ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16)
+    def test_it_takes_the_snapshot_in_chunks_and_then_the_log(self):
         for lose_disk in (False, True):
-            core = self.away(50, pace, lose_disk)
+            core = self.away(50, SHORT_LOG, lose_disk)
             self.assertIsNotNone(core.caught_up("s2"), lose_disk)
             self.assertGreater(core.sizes.largest, CHUNK_BYTES)
             self.assertLess(core.sizes.largest, FRAME_BYTES_MOST)
             core.world.settle(3)
 
-    def test_decisions_are_told_in_frames_that_a_receiver_takes(self):
+    def test_decisions_are_sent_in_frames_that_a_receiver_accepts(self):
         core = self.away(50, ReplicaTuning())
         self.assertIsNotNone(core.caught_up("s2"))
         self.assertLess(core.sizes.largest, FRAME_BYTES_MOST)
 
-    def begun(self, core, parts=2):
-        """Until s2 has so many pieces of the snapshot, but not all."""
+    def begun(self, core, chunks=2):
+        """Until s2 has so many chunks of the snapshot, but not all."""
         partial = core.partial("s2")
-        self.assertTrue(core.world.until(lambda: len(partial.chunks) >= parts, seconds(5)))
+        self.assertTrue(core.world.until(lambda: len(partial.chunks) >= chunks, seconds(5)))
         return partial
 
     def test_another_source_finishes_what_one_that_died_began(self):
-        core, told = (
-            self.away(
-                50,
-                ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16),
-                texts_held=True,
-            ),
-            [],
-        )
+        core = self.away(50, SHORT_LOG, snapshots_cached=True)
+        sent_chunks = []
         core.world.checks.append(
-            lambda world, seat, event, plan: told.extend(
+            lambda world, seat, event, plan: sent_chunks.extend(
                 (seat.address, message.piece.slot, message.piece.offset)
                 for address, message in plan.sends
                 if address == "s2"
@@ -140,33 +136,35 @@
             )
         )
         partial = self.begun(core)
-        slot, received, begun_by = partial.slot, partial.received, told[0][0]
+        slot, received, begun_by = partial.slot, partial.received, sent_chunks[0][0]
         core.world.cut([begun_by], ["s2"])
-        told.clear()
+        sent_chunks.clear()
         self.assertIsNotNone(core.caught_up("s2"))
-        others = [(piece_slot, offset) for source, piece_slot, offset in told if source != begun_by]
+        others = [
+            (chunk_slot, offset) for source, chunk_slot, offset in sent_chunks if source != begun_by
+        ]
         self.assertEqual((slot, received), others[0])
         self.assertNotIn(0, [offset for _, offset in others])
 
-    def test_a_source_that_is_cut_off_half_way_holds_nobody_up(self):
+    def test_a_source_that_is_partitioned_half_way_delays_nobody(self):
         for source in ("s0", "s1"):
-            core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
+            core = self.away(50, SHORT_LOG)
             self.begun(core)
             core.world.cut([source], ["s2"])
             core.change(3)
             self.assertIsNotNone(core.caught_up("s2"), source)
 
-    def test_killed_at_any_piece_it_starts_from_its_disk_and_takes_the_snapshot_anew(self):
-        core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
-        for parts in (1, 2):
-            self.begun(core, parts)
+    def test_killed_at_any_chunk_it_starts_from_its_disk_and_takes_the_snapshot_anew(self):
+        core = self.away(50, SHORT_LOG)
+        for chunks in (1, 2):
+            self.begun(core, chunks)
             core.world.crash("s2")
             core.world.start("s2")
         self.assertIsNotNone(core.caught_up("s2"))
         core.world.settle(3)
 
     def test_killed_while_the_snapshot_is_written_it_has_the_old_disk_or_the_new(self):
-        core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
+        core = self.away(50, SHORT_LOG)
         seat = core.world.seats["s2"]
         seat.crash_on_write = 1.0  # whatever it writes first is lost, and with it this life
         self.assertTrue(core.world.until(lambda: seat.node is None, seconds(5)))
@@ -176,18 +174,18 @@
         core.world.settle(3)
 
     def test_slow_and_stalled_disks_delay_it_and_no_more(self):
-        for trouble in ({"slowness": 30}, {"stalled_until": None}):
-            core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
+        for fault in ({"slowness": 30}, {"stalled_until": None}):
+            core = self.away(50, SHORT_LOG)
             for name in ("s0", "s2"):  # the one that writes the snapshot, and a source
                 disk = core.world.seats[name].disk
-                if "slowness" in trouble:
-                    disk.slowness = trouble["slowness"]
+                if "slowness" in fault:
+                    disk.slowness = fault["slowness"]
                 else:
                     disk.stalled_until = core.world.time + 3 * SECOND
-            self.assertIsNotNone(core.caught_up("s2", 20), trouble)
+            self.assertIsNotNone(core.caught_up("s2", 20), fault)
 
     def test_a_text_is_made_once_for_all_that_are_behind(self):
-        core = self.away(50, ReplicaTuning(max_retained_decisions=8, max_segment_decisions=16))
+        core = self.away(50, SHORT_LOG)
         made = []
         tables = type(core.world.seats["s0"].node.node_state.tables)
         text = tables.text
--- a/tests/consensus/test_core_fault_schedules.py
+++ b/tests/consensus/test_core_fault_schedules.py
@@ -50,7 +50,7 @@
         _seed, text = first_broken(range(60), unsafe_send=True)
         self.assertRegex(text, "unsaid|disks|elsewhere")
 
-    def test_saying_accepted_too_early_is_caught(self):
+    def test_acknowledging_too_early_is_caught(self):
         with patch("willowpost.consensus.replica.barrier.safe_slot", lambda self: 10**9):
             _, text = first_broken(range(10))
         self.assertIn("disks holding it", text)
--- a/tests/consensus/test_epoch_barrier.py
+++ b/tests/consensus/test_epoch_barrier.py
@@ -99,24 +99,24 @@
 class FormerEpochs(unittest.TestCase):
     """Rabia's messages of another epoch, or of an identity that was replaced."""
 
-    def heard(self, *ballot_states, tables=TABLES):
+    def received(self, *ballot_states, tables=TABLES):
         node_state = replica(tables)
         voting = Voting(node_state)
         for ballot_state in ballot_states:
             voting.step(Received(ballot_state.identity, ballot_state), 0)
         return node_state
 
-    def test_late_votes_of_a_replaced_identity_are_not_heard(self):
-        node_state = self.heard(BallotState("C", 1, FIRST, "x", None, (1,), (1,), agreed="x"))
+    def test_late_votes_of_a_replaced_identity_are_ignored(self):
+        node_state = self.received(BallotState("C", 1, FIRST, "x", None, (1,), (1,), agreed="x"))
         self.assertEqual({}, node_state.ballot_states)
         self.assertNotIn("C", node_state.synced_indexes)
 
-    def test_a_ballot_state_of_a_former_epoch_by_a_member_is_not_heard(self):
-        node_state = self.heard(BallotState("B", 1, FIRST, "x", None, (1,), (1,), agreed="x"))
+    def test_a_ballot_state_of_a_previous_epoch_by_a_voter_is_ignored(self):
+        node_state = self.received(BallotState("B", 1, FIRST, "x", None, (1,), (1,), agreed="x"))
         self.assertEqual({}, node_state.ballot_states)
 
     def test_early_ballot_states_are_taken_only_in_their_epoch_and_of_members(self):
-        node_state = self.heard(
+        node_state = self.received(
             BallotState("B", 1, FIRST, "old"),
             BallotState("C", 2, FIRST, "late"),
             BallotState("D", 2, FIRST, "new"),
@@ -138,15 +138,15 @@
     def test_a_restart_with_a_torn_tail_knows_less_but_says_nothing_else(self):
         snapshot = {"k": "snapshot", "text": TABLES.text(), "log_floor": FIRST, "passed": 2}
         ballot_state = BallotState("A", 2, FIRST, "x/1/1", Command("x", 1, 1, 1, "[]"))
-        whole = [
+        records = [
             identity_record(Member("A", "A", "a", "A")),
             snapshot,
             ballot_state_record(ballot_state, True),
             ballot_state_record(replace(ballot_state, states=(1,), agreed="x/1/1"), False),
         ]
-        for kept, states in ((4, (1,)), (3, ())):
+        for record_count, states in ((4, (1,)), (3, ())):
             node_state = ReplicaState(Member("A", "A", "a", "A"))
-            restoration.restore_state(node_state, whole[:kept], 0)
+            restoration.restore_state(node_state, records[:record_count], 0)
             self.assertEqual(
                 ("x/1/1", states, "[]"),
                 (
@@ -174,14 +174,14 @@
         result = apply_operation(tables, ReplaceVoter(old, new)).result
         return None if result.is_accepted else result.reason
 
-    def test_only_a_lost_a_leaving_or_a_wiped_voter_is_replaced(self):
+    def test_only_a_lost_a_draining_or_a_wiped_voter_is_replaced(self):
         learner = member("D")
         self.assertIn("neither is lost", self.refused(self.tables, "C", learner))
         for state in (DaemonState.LOST, DaemonState.DRAINING):
             self.assertIsNone(self.refused(self.with_daemon("C", state=state), "C", learner))
         self.assertIsNone(self.refused(self.tables, "C", replace(learner, address="C")))
 
-    def test_two_live_machines_of_one_name_do_not_take_the_seat_from_each_other(self):
+    def test_two_live_machines_of_one_name_do_not_replace_each_other(self):
         namesake = replace(member("D"), name="C")
         self.assertIn("neither is lost", self.refused(self.tables, "C", namesake))
         others = {name: entry for name, entry in self.tables.daemons.items() if name != "C"}
@@ -213,7 +213,7 @@
             held, result = apply_operation(held, offer)
         self.assertFalse(result.is_accepted)
 
-    def test_the_own_seat_comes_first_then_the_lost_then_the_leaving(self):
+    def test_the_own_machine_comes_first_then_the_lost_then_the_draining(self):
         tables = self.with_daemon("A", state=DaemonState.DRAINING)
         self.assertEqual("A", replaceable_by(tables, member("D")).identity)
         tables = replace(tables, daemons={**tables.daemons, "B": store("B", DaemonState.LOST)})
--- a/tests/consensus/test_voter_replacement.py
+++ b/tests/consensus/test_voter_replacement.py
@@ -96,7 +96,7 @@
             self.leave_then_lose(world)
         self.assertFalse(world.holds("s1", "z"))
 
-    def test_with_a_learner_there_the_seat_is_handed_over_first(self):
+    def test_with_a_learner_there_the_vote_is_handed_over_first(self):
         world = self.lagging(("a", "b", "c", "c"))
         self.leave_then_lose(world)
         self.assertEqual([True, True], [world.holds(name, "z") for name in ("s1", "s3")])
@@ -104,7 +104,7 @@
         world.add_caller("r1", ["s1", "s3"])
         self.assertTrue(world.accept("y", "r1"))
 
-    def test_without_being_told_by_the_newcomer_the_one_that_lagged_stays_behind(self):
+    def test_without_requests_to_unknown_voters_the_one_that_lagged_stays_behind(self):
         world = self.lagging(("a", "b", "c", "c"))
         with patch.object(EpochDiscovery, "step", lambda self, event, now: Plan()):
             self.leave_then_lose(world)
@@ -138,7 +138,7 @@
         world.blocked.remove(deaf)
         self.assertTrue(world.accept("x"))
 
-    def test_the_one_put_out_goes_on_saying_what_it_holds(self):
+    def test_a_replaced_voter_goes_on_reporting_its_synced_index(self):
         """B is down; A and C, which is put out alive, are the quorum of the former voters."""
         for switched_off in (False, True):
             with self.subTest(switched_off=switched_off):
@@ -215,7 +215,7 @@
         world.take_away("s0")
         self.assertTrue(world.until(lambda: world.voters("s1") == {"s1", "s2", "s3"}, seconds(8)))
 
-    def test_a_leaver_that_is_killed_half_way(self):
+    def test_a_draining_voter_that_is_killed_half_way(self):
         for lose_disk in (False, True):
             with self.subTest(lose_disk=lose_disk):
                 world = self.core()
@@ -233,7 +233,7 @@
                 self.assertEqual({"s0", "s1", "s3"}, world.voters("s2"))
                 self.assertTrue(world.holds("s2", "y"))
 
-    def test_a_leaver_that_is_killed_and_back_before_it_is_replaced_keeps_its_seat(self):
+    def test_a_draining_voter_that_is_killed_and_back_before_it_is_replaced_stays_a_voter(self):
         world = self.core()
         withheld = world.hold_back("s3", "replace_voter")
         world.terminate("s2")
@@ -246,7 +246,7 @@
         self.assertEqual({1}, world.epochs())
         self.assertTrue(world.accept("y"))
 
-    def test_a_restart_keeps_its_seat_and_is_quick(self):
+    def test_a_restarted_voter_stays_a_voter_and_is_quick(self):
         world = self.core(zones=("a", "b", "c"))
         for name in ("s0", "s1", "s2"):
             gone = world.terminate(name)
--- a/tests/state/test_duplicate_commands.py
+++ b/tests/state/test_duplicate_commands.py
@@ -65,7 +65,7 @@
         recorded = recorded_results(run(tables, newcomer), newcomer)
         self.assertEqual((Accepted(),), recorded.results)
 
-    def test_a_forgotten_daemon_is_told_not_known_and_goes_on(self):
+    def test_a_forgotten_daemon_learns_that_its_outcome_is_unknown_and_goes_on(self):
         client = CommandClient("d0", 1000, lambda: ["s:1"], lambda: 5)
         client.step(SubmitOperations(1, (EVACUATION,)), 0)
         client.step(Tick(), 10_000)
--- a/tests/state/test_numbered_configurations.py
+++ b/tests/state/test_numbered_configurations.py
@@ -41,7 +41,7 @@
                     log.tables.configuration,
                 )
 
-    def test_a_number_said_again_with_another_configuration_is_refused_and_changes_nothing(self):
+    def test_a_repeated_number_with_another_configuration_is_refused_and_changes_nothing(self):
         log = Log()
         log.put(ConfigurationProposal(version=7, tree=tree(1), source="first"))
         for other, source in ((tree(2), "first"), (tree(1), "second"), (tree(1), None)):
@@ -140,7 +140,7 @@
         self.call("PUT", "/v1/configuration", self.world.configuration)
         self.assertNotIn("source", self.call("GET", "/v1/configuration", first=1).value)
 
-    def test_what_is_invalid_is_refused_with_its_place_also_when_its_number_is_low(self):
+    def test_what_is_invalid_is_refused_with_its_location_also_when_its_number_is_low(self):
         self.number(9)
         for value, place in (
             ({"version": 4, "configuration": {"services": {}, "x": 1}}, "configuration/x"),
--- a/tests/state/test_repeated_orders.py
+++ b/tests/state/test_repeated_orders.py
@@ -57,7 +57,7 @@
         self.assertFalse(self.put(1, if_match=1).is_accepted)
         self.assertTrue(self.put(2, if_match=2).is_accepted)
 
-    def test_what_was_left_behind_a_cut_undoes_nothing_newer_but_is_known_if_it_was_taken(self):
+    def test_what_was_left_behind_a_partition_undoes_nothing_newer_but_is_known_if_it_was_accepted(self):
         self.put(1)
         self.put(2, known_version=1, key="k")
         late = self.put(3, known_version=1)
@@ -137,7 +137,7 @@
         held = self.call("GET", PATH).value
         self.assertEqual((3, 4), (held["version"], held["configuration"]["settings"]["tries"]))
 
-    def test_the_same_number_with_other_content_is_refused_with_its_place(self):
+    def test_the_same_number_with_other_content_is_refused_with_its_location(self):
         def number(tries, first=0, version=50, **more):
             body = {"version": version, "configuration": self.tried(tries), **more}
             return self.answered("POST", body, "/v1/configurations", first)
