--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -7,11 +7,8 @@
 from willowpost.common.clock import SECOND
 from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.common.plan import Plan
-from willowpost.consensus.replica.records import (
-    BootstrapPromiseRecord,
-    encode_record,
-    founding_record,
-)
+from willowpost.consensus.replica.record_types import BootstrapPromiseRecord
+from willowpost.consensus.replica.records import encode_record, founding_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.state.codec import MEMBER
 from willowpost.wire.messages import CatchupRequest, Hello, Member
--- a/src/willowpost/consensus/replica/replica_state.py
+++ b/src/willowpost/consensus/replica/replica_state.py
@@ -9,9 +9,8 @@
 from willowpost.common.plan import Plan
 from willowpost.consensus.log_size import decision_bytes
 from willowpost.consensus.pending_queue import PendingQueue
+from willowpost.consensus.replica.record_types import BootstrapPromiseRecord, SnapshotRecord
 from willowpost.consensus.replica.records import (
-    BootstrapPromiseRecord,
-    SnapshotRecord,
     ballot_state_record,
     decision_record,
     encode_record,
--- a/src/willowpost/consensus/replica/restoration.py
+++ b/src/willowpost/consensus/replica/restoration.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from willowpost.consensus.replica.records import (
+from willowpost.consensus.replica.record_types import (
     BallotStateRecord,
     BarrierPassedRecord,
     BootstrapPromiseRecord,
@@ -11,8 +11,8 @@
     Record,
     RetainedDecisionRecord,
     SnapshotRecord,
-    decode_record,
 )
+from willowpost.consensus.replica.records import decode_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.state.codec import JsonObject
 from willowpost.state.tables import tables_from
--- a/src/willowpost/consensus/replica/voting.py
+++ b/src/willowpost/consensus/replica/voting.py
@@ -6,10 +6,8 @@
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.ballot_exchange import BallotExchange
 from willowpost.consensus.replica.barrier import is_passed
-from willowpost.consensus.replica.records import (
-    BarrierPassedRecord,
-    encode_record,
-)
+from willowpost.consensus.replica.record_types import BarrierPassedRecord
+from willowpost.consensus.replica.records import encode_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.weakmvc import Verdict, WeakMvc, agreed_proposal
 from willowpost.wire.messages import (
