--- a/tests/state/test_repeated_orders.py
+++ b/tests/state/test_repeated_orders.py
@@ -57,7 +57,9 @@
         self.assertFalse(self.put(1, if_match=1).is_accepted)
         self.assertTrue(self.put(2, if_match=2).is_accepted)
 
-    def test_what_was_left_behind_a_partition_undoes_nothing_newer_but_is_known_if_it_was_accepted(self):
+    def test_what_was_left_behind_a_partition_undoes_nothing_newer_but_is_known_if_it_was_accepted(
+        self,
+    ):
         self.put(1)
         self.put(2, known_version=1, key="k")
         late = self.put(3, known_version=1)
