--- a/src/willowpost/consensus/replica/catchup.py
+++ b/src/willowpost/consensus/replica/catchup.py
@@ -115,7 +115,7 @@
         node_state = self.node_state
         slot_before = node_state.tables.slot
         if response.snapshot:
-            self._install_snapshot(response.snapshot, plan)
+            self._install_snapshot(source, response.snapshot, plan)
         if response.piece is not None:
             self._add_snapshot_chunk(source, response.piece, now, plan)
         for decision in response.decisions:
@@ -131,23 +131,25 @@
             return
         text = incoming.add(chunk, now)
         if text is not None:
-            self._install_snapshot(text, plan)
+            self._install_snapshot(source, text, plan)
         elif incoming.received > received_before:
             self._request(source, now, plan)
 
-    def _install_snapshot(self, text: str, plan: Plan) -> None:
+    def _install_snapshot(self, source: str, text: str, plan: Plan) -> None:
         node_state = self.node_state
         try:
             tables = tables_from(text)
         except UnknownFormatError as error:
-            plan.log("catchup", "snapshot of an unknown format refused", problem=str(error))
+            plan.log(
+                "catchup", "snapshot of an unknown format refused", peer=source, problem=str(error)
+            )
             return
         if not self._is_newer(tables.slot):
             return
         node_state.log, node_state.log_floor = {}, tables.slot
         node_state.install_tables(tables)
         node_state.begin_segment(plan)
-        plan.log("catchup", "snapshot installed", slot=tables.slot)
+        plan.log("catchup", "snapshot installed", peer=source, slot=tables.slot)
 
     def _is_newer(self, slot: int) -> bool:
         """Whether a snapshot of this slot is newer than the tables here."""
