--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -48,7 +48,7 @@
         size: the number of bootstrap members.
         claims: the stores that say for themselves that they are empty, by identity.
         promises: the bootstrap promises received, by identity.
-        known_addresses: stores to greet, of which others told; only a store's own claim counts for
+        known_addresses: stores to greet, reported by others; only a store's own claim counts for
             the bootstrap.
         bootstrapped_addresses: the voters of a fleet that is bootstrapped already.
         sent_at: when the last greetings left; µs, own clock; -1: none left.
--- a/src/willowpost/state/apply/voters.py
+++ b/src/willowpost/state/apply/voters.py
@@ -81,8 +81,8 @@
 def replaceable_by(tables: Tables, learner: Member) -> Member | None:
     """Return the voter that the log would let this learner replace, or None.
 
-    The former identity of the learner's own machine comes first, then lost voters, then those that
-    shut down.
+    The previous identity of the learner's own machine comes first, then lost voters, then those
+    that shut down.
     """
 
     def order(voter: Member) -> tuple[bool, bool]:
@@ -232,8 +232,8 @@
 def _are_distinct_machines(voters: tuple[Member, ...]) -> bool:
     """Whether all voters differ in machine and address.
 
-    The new identity of a machine whose disk was wiped replaces its former one; it does not add a
-    voter.
+    The new identity of a machine whose disk was wiped replaces its previous one; it adds
+    no voter.
     """
     names = {voter.name for voter in voters}
     addresses = {voter.address for voter in voters}
--- a/src/willowpost/state/entries.py
+++ b/src/willowpost/state/entries.py
@@ -104,7 +104,7 @@
         slot: that registered it.
         state: see `OriginState`.
         token: names the incarnation of its process; None: it has no name.
-        slots: how many requests it works on at once; 0: not said.
+        slots: how many requests it works on at once; 0: not reported.
         heartbeat_number: of the last heartbeat that changed the entry; 0: none.
         reports_warm_up: whether its heartbeats say for how long it still warms up.
         warming_up_since_slot: the slot that last let it warm up again; None: none did.
--- a/src/willowpost/state/operations.py
+++ b/src/willowpost/state/operations.py
@@ -96,7 +96,7 @@
         rate: requests per second that it can take.
         slow_start_rate: requests per second while it warms up.
         token: names the incarnation of its process; None: it has no name.
-        slots: how many requests it works on at once; None: not said.
+        slots: how many requests it works on at once; None: not reported.
         heartbeat_number: of the heartbeat that registers it; 0: none.
         is_draining: whether it takes no new requests.
         is_warming_up: whether it says that it warms up; None: it never says so.
--- a/src/willowpost/state/results.py
+++ b/src/willowpost/state/results.py
@@ -104,7 +104,7 @@
     Attributes:
         version: that the change made; the one in force for a number that is not above it.
         is_changed: whether this very operation put it into force.
-        version_in_force: told only for a repeated change; None: not told.
+        version_in_force: only for a repeated change; else None.
     """
 
     version: int
@@ -124,8 +124,8 @@
     """The operation changed nothing, except where the reason says so.
 
     Attributes:
-        reason: a `Reason`, or a text of one of the functions above; None: not said.
-        version: the version in force, for a configuration; None: not told.
+        reason: a `Reason`, or a text of one of the functions above; None: not reported.
+        version: the version in force, for a configuration; else None.
     """
 
     reason: str | None
