--- a/src/willowpost/state/apply/voters.py
+++ b/src/willowpost/state/apply/voters.py
@@ -136,7 +136,7 @@
     That slot opened behind the barrier (`consensus/replica/barrier.py`), so n - f of the new voters
     hold everything that was accepted before the change.
     """
-    return tables.previous_voters is None or tables.slot > tables.previous_voters.slot + 1
+    return tables.previous_voters is None or tables.slot > tables.epoch_first_slot()
 
 
 def offer_voter(tables: Tables, operation: OfferVoter) -> Transition:
--- a/src/willowpost/state/tables.py
+++ b/src/willowpost/state/tables.py
@@ -85,6 +85,14 @@
         """Return the identities of the voters."""
         return frozenset(voter.identity for voter in self.voters)
 
+    def previous_voter_identities(self) -> tuple[str, ...]:
+        """Return the identities of the voters before the last change; none in the first epoch."""
+        return self.previous_voters.identities() if self.previous_voters else ()
+
+    def epoch_first_slot(self) -> int:
+        """Return the first slot of the epoch in force; 0 in the epoch of the bootstrap members."""
+        return self.previous_voters.slot + 1 if self.previous_voters else 0
+
     def as_json(self) -> dict[str, Any]:
         """Return the JSON object of the snapshot."""
         stored = {
