--- a/src/willowpost/node/command_client.py
+++ b/src/willowpost/node/command_client.py
@@ -1,20 +1,24 @@
-"""Submits this daemon's operations to the log: batches, stamps, submits, retries, answers."""
+"""Submits this daemon's operations to the log: batches them, retries, and reports the outcomes."""
 
 import json
-from dataclasses import dataclass, field
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import Any
 
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick, WithdrawSubmission
 from willowpost.common.plan import Plan
-from willowpost.state.codec import decode_results, encode_operation
+from willowpost.node.pending_commands import PendingCommand, Submission
+from willowpost.state.codec import encode_operation
+from willowpost.state.outcomes import Applied, Barred, SenderForgotten, decode_outcome
 from willowpost.state.results import Result
 from willowpost.wire.messages import Command, CommandAccepted, SubmitCommand
 
-BATCH_WAIT = 5 * MILLI
-BATCH_MOST = 20
-RETRY_AFTER = 400 * MILLI
-# a store that left a submission unanswered is tried last for so long
-AVOID_FOR = 5 * SECOND
+MAX_BATCH_AGE_US = 5 * MILLI
+MAX_BATCH_OPERATIONS = 20
+RETRY_INTERVAL_US = 400 * MILLI
+# A store that left a command unanswered is the last choice for so long.
+UNRESPONSIVE_STORE_PENALTY_US = 5 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,188 +34,171 @@
     results: tuple[Result, ...] | None
 
 
-@dataclass(frozen=True, slots=True)
-class Request:
-    """Operations that one caller in this process asked for.
-
-    Attributes:
-        token: under which the caller waits for the outcome; None if nobody waits.
-        operations: in the order in which the log is to apply them.
-        expires_at: µs, own clock; from then on nobody needs the operations. None: always needed.
-    """
-
-    token: object
-    operations: tuple
-    expires_at: int | None = None
-
-    @property
-    def lasting(self) -> bool:
-        """Whether it is submitted again until the log answers, however long that takes."""
-        return self.token is None and self.expires_at is None
-
-    def needed(self, now: int) -> bool:
-        """Whether the operations have not expired at `now` (µs, own clock)."""
-        return self.expires_at is None or now < self.expires_at
-
-
-@dataclass(slots=True)
-class PendingCommand:
-    """A stamped command without an answer yet.
-
-    Attributes:
-        command: what is submitted.
-        requests: those that the command was made of.
-        sent_at: when it was last submitted; µs, own clock.
-        sent_to: address of the store it was last submitted to; empty: none was known.
-        withdrawn: tokens of the requests whose callers have withdrawn.
-    """
-
-    command: Command
-    requests: tuple[Request, ...]
-    sent_at: int
-    sent_to: str = ""
-    withdrawn: set = field(default_factory=set)
-
-    def waiting(self) -> list:
-        """Return the tokens of the callers that still wait."""
-        return [
-            request.token
-            for request in self.requests
-            if request.token is not None and request.token not in self.withdrawn
-        ]
-
-    def needed(self, now: int) -> bool:
-        """Whether a request of it is neither withdrawn nor expired at `now`."""
-        return any(
-            request.token not in self.withdrawn and request.needed(now) for request in self.requests
-        )
-
-
 class CommandClient:
     """Submits commands to the stores until they are answered or nobody needs them any more.
 
-    A command is submitted again under the same key. A stamp is greater than every stamp given
-    before it here. No command is submitted again once every caller that waited for it has
-    withdrawn, or its operations have expired. Operations that nobody waits for and that do not
-    expire never share a command with others, so that they do not keep those alive.
+    A command is retried under the same key. A stamp is greater than every stamp given before it
+    here. No command is retried once every caller that waited for it has withdrawn, or its
+    operations have expired. Operations that nobody waits for and that do not expire never share a
+    command with others, so that they do not keep those alive.
+
+    Args:
+        daemon: id of this daemon.
+        incarnation: of this process.
+        store_addresses: returns the addresses of the stores, nearest first.
+        wall_clock: returns µs of the wall clock, which may jump.
     """
 
-    def __init__(self, daemon: str, incarnation: int, cores, wall):
+    def __init__(
+        self,
+        daemon: str,
+        incarnation: int,
+        store_addresses: Callable[[], Sequence[str]],
+        wall_clock: Callable[[], int],
+    ) -> None:
         self.daemon = daemon
         self.incarnation = incarnation
-        self.cores = cores  # () -> addresses of stores, nearest first
-        self.wall = wall  # () -> µs of the wall clock, which may jump
+        self.store_addresses = store_addresses
+        self.wall_clock = wall_clock
         self.counter = 0
         self.stamp = 0
-        self.gathered: list[Request] = []
-        self.gathered_at = 0
-        self.pending: dict[str, PendingCommand] = {}
-        self.unanswered_at: dict[str, int] = {}  # address of a store -> when it was given up
+        self.batch: list[Submission] = []
+        self.batch_started_at = 0
+        self.pending: dict[str, PendingCommand] = {}  # by the command's key
+        self.unanswered_at: dict[str, int] = {}  # address of a store -> when it timed out, µs
 
-    def step(self, event, now: int) -> Plan:
+    def step(self, event: Any, now: int) -> Plan:
         """Handle one event.
 
         `SubmitOperations` adds operations to the batch, `WithdrawSubmission` ends a caller's wait,
-        `CommandAccepted` answers the callers of a command, and a tick resubmits what has waited for
-        RETRY_AFTER. A batch is submitted when it holds BATCH_MOST operations or is BATCH_WAIT old.
+        `CommandAccepted` answers the callers of a command, and a tick retries what has waited for
+        RETRY_INTERVAL_US. A batch is submitted when it has MAX_BATCH_OPERATIONS operations or is
+        MAX_BATCH_AGE_US old.
 
         Returns:
             The submissions; replies are `SubmissionOutcome`.
         """
         plan = Plan()
         match event:
-            case SubmitOperations() as asked:
-                self._gather(asked, now)
+            case SubmitOperations() as request:
+                self._add_to_batch(request, now)
             case WithdrawSubmission(token):
                 self._withdraw(token)
             case Received(source, CommandAccepted() as accepted):
                 self.unanswered_at.pop(source, None)
                 if accepted.key in self.pending:
-                    self._settle(accepted, now, plan)
-        if self.gathered and (self._full() or now - self.gathered_at >= BATCH_WAIT):
-            self._stamp(now, plan)
+                    self._handle_answer(accepted, now, plan)
+        if self._is_batch_due(now):
+            self._submit_batch(now, plan)
         if isinstance(event, Tick):
             self._retry(now, plan)
         return plan
 
     def waiting(self) -> int:
         """Return how many callers in this process wait for an outcome."""
-        gathered = sum(request.token is not None for request in self.gathered)
-        return gathered + sum(len(entry.waiting()) for entry in self.pending.values())
-
-    def _gather(self, asked, now):
-        if not self.gathered:
-            self.gathered_at = now
-        expires_at = None if asked.lifetime is None else now + asked.lifetime
-        self.gathered.append(Request(asked.token, asked.operations, expires_at))
-
-    def _full(self):
-        return sum(len(request.operations) for request in self.gathered) >= BATCH_MOST
-
-    def _withdraw(self, token):
-        self.gathered = [request for request in self.gathered if request.token != token]
+        in_batch = sum(submission.token is not None for submission in self.batch)
+        return in_batch + sum(len(entry.waiting_tokens()) for entry in self.pending.values())
+
+    def _add_to_batch(self, request: SubmitOperations, now: int) -> None:
+        if not self.batch:
+            self.batch_started_at = now
+        expires_at = None if request.lifetime is None else now + request.lifetime
+        self.batch.append(Submission(request.token, request.operations, expires_at))
+
+    def _is_batch_due(self, now: int) -> bool:
+        if not self.batch:
+            return False
+        operations = sum(len(submission.operations) for submission in self.batch)
+        return operations >= MAX_BATCH_OPERATIONS or now - self.batch_started_at >= MAX_BATCH_AGE_US
+
+    def _withdraw(self, token: object) -> None:
+        self.batch = [submission for submission in self.batch if submission.token != token]
         for entry in self.pending.values():
-            if token in entry.waiting():
-                entry.withdrawn.add(token)
-
-    def _stamp(self, now, plan):
-        gathered, self.gathered = self.gathered, []
-        for lasting in (True, False):
-            requests = tuple(request for request in gathered if request.lasting is lasting)
-            if requests:
-                operations = [
-                    encode_operation(operation)
-                    for request in requests
-                    for operation in request.operations
-                ]
-                self._open(json.dumps(operations, separators=(",", ":")), requests, now, plan)
-
-    def _open(self, body, requests, now, plan):
+            if token in entry.waiting_tokens():
+                entry.withdrawn_tokens.add(token)
+
+    def _submit_batch(self, now: int, plan: Plan) -> None:
+        """Submit the batch as one command of what is retried for ever and one of the rest."""
+        batch, self.batch = self.batch, []
+        for is_unconditional in (True, False):
+            submissions = tuple(
+                submission
+                for submission in batch
+                if submission.is_unconditional is is_unconditional
+            )
+            if submissions:
+                self._submit_new(_command_body(submissions), submissions, now, plan)
+
+    def _submit_new(
+        self, body: str, submissions: tuple[Submission, ...], now: int, plan: Plan
+    ) -> PendingCommand:
+        """Submit a body as a new command of this incarnation."""
         self.counter += 1
-        self.stamp = max(self.stamp + 1, self.wall())
+        self.stamp = max(self.stamp + 1, self.wall_clock())
         command = Command(self.daemon, self.incarnation, self.counter, self.stamp, body)
-        entry = self.pending[command.key] = PendingCommand(command, requests, now)
-        self._submit(entry, now, plan)
+        entry = self.pending[command.key] = PendingCommand(command, submissions, now)
+        self._send(entry, now, plan)
         return entry
 
-    def _retry(self, now, plan):
-        self.pending = {key: entry for key, entry in self.pending.items() if entry.needed(now)}
+    def _retry(self, now: int, plan: Plan) -> None:
+        self.pending = {key: entry for key, entry in self.pending.items() if entry.is_needed(now)}
         for entry in self.pending.values():
-            if now - entry.sent_at >= RETRY_AFTER:
+            if now - entry.sent_at >= RETRY_INTERVAL_US:
                 self.unanswered_at[entry.sent_to] = now
-                self._submit(entry, now, plan)
+                self._send(entry, now, plan)
 
-    def _submit(self, entry, now, plan):
+    def _send(self, entry: PendingCommand, now: int, plan: Plan) -> None:
         self.unanswered_at = {
-            address: moment
-            for address, moment in self.unanswered_at.items()
-            if now - moment < AVOID_FOR
+            address: timed_out_at
+            for address, timed_out_at in self.unanswered_at.items()
+            if now - timed_out_at < UNRESPONSIVE_STORE_PENALTY_US
         }
-        cores = self.cores()
-        if cores:
-            entry.sent_to = min(cores, key=lambda address: self.unanswered_at.get(address, 0))
+        addresses = self.store_addresses()
+        if addresses:
+            entry.sent_to = min(addresses, key=lambda address: self.unanswered_at.get(address, 0))
             plan.send(entry.sent_to, SubmitCommand(entry.command))
         entry.sent_at = now
 
-    def _settle(self, accepted, now, plan):
+    def _handle_answer(self, accepted: CommandAccepted, now: int, plan: Plan) -> None:
         entry = self.pending.pop(accepted.key)
-        answers = json.loads(accepted.answers)
-        if isinstance(answers, dict) and "forgotten" in answers:
-            # The log let go of what it knew of this daemon: whether the command ran is not known,
-            # so it is not brought in again; later ones go under an incarnation that may run.
-            self.incarnation = max(self.incarnation, answers["forgotten"]) + 1
-            answers = None
-        elif isinstance(answers, dict):
-            # An earlier run of this daemon had a later incarnation (its clock ran ahead): the
-            # command was barred, so it never ran and may be stamped anew.
-            self.incarnation = max(self.incarnation, answers["barred"]) + 1
-            renewed = self._open(entry.command.body, entry.requests, now, plan)
-            renewed.withdrawn = entry.withdrawn
-            return
-        start = 0
-        for request in entry.requests:
-            end = start + len(request.operations)
-            if request.token is not None and request.token not in entry.withdrawn:
-                results = None if answers is None else decode_results(answers[start:end])
-                plan.replies.append((request.token, SubmissionOutcome(accepted.slot, results)))
-            start = end
+        match decode_outcome(accepted.slot, accepted.answers):
+            case Barred(incarnation=incarnation):
+                # An earlier run of this daemon had a later incarnation (its clock ran ahead). The
+                # command was never applied, so it may be submitted as a new one.
+                self._rise_above(incarnation)
+                renewed = self._submit_new(entry.command.body, entry.submissions, now, plan)
+                renewed.withdrawn_tokens = entry.withdrawn_tokens
+            case SenderForgotten(incarnation=incarnation):
+                # Whether the command was applied is not known, so it is not submitted again; later
+                # ones go under an incarnation that the log accepts.
+                self._rise_above(incarnation)
+                _reply(entry, accepted.slot, None, plan)
+            case Applied(results=results):
+                _reply(entry, accepted.slot, results, plan)
+            case _:
+                _reply(entry, accepted.slot, None, plan)
+
+    def _rise_above(self, incarnation: int) -> None:
+        self.incarnation = max(self.incarnation, incarnation) + 1
+
+
+def _command_body(submissions: tuple[Submission, ...]) -> str:
+    operations = [
+        encode_operation(operation)
+        for submission in submissions
+        for operation in submission.operations
+    ]
+    return json.dumps(operations, separators=(",", ":"))
+
+
+def _reply(
+    entry: PendingCommand, slot: int, results: tuple[Result, ...] | None, plan: Plan
+) -> None:
+    """Give each waiting caller the results of its own operations; None: they are not known."""
+    start = 0
+    for submission in entry.submissions:
+        end = start + len(submission.operations)
+        if entry.is_waited_for(submission):
+            own_results = None if results is None else results[start:end]
+            plan.replies.append((submission.token, SubmissionOutcome(slot, own_results)))
+        start = end
--- a/src/willowpost/node/graceful_shutdown.py
+++ b/src/willowpost/node/graceful_shutdown.py
@@ -1,37 +1,48 @@
-"""The planned end of a proxy or registry: drain, finish what is under way, leave the log."""
+"""The planned end of a proxy or registry: drain, finish open requests, leave the log."""
 
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from enum import Enum
+from types import MappingProxyType
+from typing import Any
 
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
+from willowpost.node.command_client import CommandClient
+from willowpost.node.join import FleetJoin
+from willowpost.node.node_state import NodeState
+from willowpost.node.staged_shutdown import StagedShutdown
 from willowpost.state.operations import DrainDaemon, RemoveDaemon
 
 
-class Stage(Enum):
-    """The stages of a planned end; the transitions are in `NEXT`."""
+class ShutdownStage(Enum):
+    """The stages of a planned end; the transitions are in `TRANSITIONS`."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # still serves all, but says that it goes
-    FINISHING = "finishing"  # takes nothing new
-    LEAVING = "leaving"  # asks to be taken out of the log
-    GONE = "gone"
-
-
-NEXT = {
-    Stage.SERVING: {Stage.DRAINING},
-    Stage.DRAINING: {Stage.FINISHING},
-    Stage.FINISHING: {Stage.LEAVING},
-    Stage.LEAVING: {Stage.GONE},
-    Stage.GONE: set(),
-}
-
-# every proxy with a lease has heard of it by then, and every balancer that asks once a second
-DRAIN_SPAN = 3 * SECOND
-FINISH_SPAN = 30 * SECOND
-LAST_BYTES = 100 * MILLI
-LEAVE_SPAN = 1_500 * MILLI
+    DRAINING = "draining"  # still serves everything, but is marked as draining
+    FINISHING = "finishing"  # accepts nothing new
+    LEAVING = "leaving"  # submits its removal from the log
+    STOPPED = "stopped"
+
+
+TRANSITIONS: Mapping[ShutdownStage, frozenset[ShutdownStage]] = MappingProxyType(
+    {
+        ShutdownStage.SERVING: frozenset({ShutdownStage.DRAINING}),
+        ShutdownStage.DRAINING: frozenset({ShutdownStage.FINISHING}),
+        ShutdownStage.FINISHING: frozenset({ShutdownStage.LEAVING}),
+        ShutdownStage.LEAVING: frozenset({ShutdownStage.STOPPED}),
+        ShutdownStage.STOPPED: frozenset(),
+    }
+)
+
+# By then every proxy with a lease knows of the drain, and so does every load balancer that checks
+# once a second.
+DRAIN_TIMEOUT_US = 3 * SECOND
+FINISH_TIMEOUT_US = 30 * SECOND
+LEAVE_TIMEOUT_US = 1_500 * MILLI
+# Responses whose last bytes were just written need so long to leave the machine.
+MIN_FINISHING_US = 100 * MILLI
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +51,8 @@
 
     Attributes:
         drain: how long everything is still served while the daemon is marked as draining.
-        finish: how long requests under way may take after that.
-        leave: how long to wait until the log no longer holds the daemon.
+        finish: how long open requests may take after that.
+        leave: how long to wait until the log no longer contains the daemon.
     """
 
     drain: int
@@ -53,67 +64,86 @@
     """An event: the platform wants this process to end."""
 
 
-class GracefulShutdown:
-    """Moves a daemon through the stages of its end.
+class GracefulShutdown(StagedShutdown[ShutdownStage]):
+    """Moves a daemon through the stages of its planned end.
 
-    Nothing new is refused before `spans.drain` is over. Nothing under way is given up before
-    `spans.finish`, which counts from then, is over. The whole takes no longer than the three spans
-    together.
+    Nothing new is rejected before `timeouts.drain` is over. No open request is given up before
+    `timeouts.finish`, which counts from then, is over. All stages together take no longer than the
+    three timeouts together.
+
+    Args:
+        node_state: of the daemon.
+        command_client: submits the operations.
+        fleet_join: stops joining once the daemon leaves.
+        timeouts: None for the defaults.
     """
 
-    def __init__(self, node_state, command_client, joiner, spans: ShutdownTimeouts | None = None):
-        self.spans = spans or ShutdownTimeouts(DRAIN_SPAN, FINISH_SPAN, LEAVE_SPAN)
-        self.node_state, self.descriptor, self.command_client, self.fleet_join = (
-            node_state,
-            node_state.descriptor,
-            command_client,
-            joiner,
+    transitions = TRANSITIONS
+
+    def __init__(
+        self,
+        node_state: NodeState,
+        command_client: CommandClient,
+        fleet_join: FleetJoin,
+        timeouts: ShutdownTimeouts | None = None,
+    ) -> None:
+        super().__init__(ShutdownStage.SERVING)
+        self.timeouts = timeouts or ShutdownTimeouts(
+            DRAIN_TIMEOUT_US, FINISH_TIMEOUT_US, LEAVE_TIMEOUT_US
         )
-        self.stage = Stage.SERVING
-        self.since = 0
+        self.node_state = node_state
+        self.descriptor = node_state.descriptor
+        self.command_client = command_client
+        self.fleet_join = fleet_join
+        self.stage_entered_at = 0
         self.finish_by = 0
-        # () -> requests or calls not answered yet; set by who serves them
-        self.in_flight = lambda: 0
-
-    @property
-    def gone(self) -> bool:
-        """Whether the process may end."""
-        return self.stage is Stage.GONE
+        # Returns the number of requests or calls not answered yet; set by who serves them.
+        self.in_flight: Callable[[], int] = lambda: 0
 
-    def step(self, event, now: int) -> Plan:
+    def step(self, event: Any, now: int) -> Plan:
         """Begin on `ShutdownRequested`; on each tick, move on if the next stage is due."""
         plan = Plan()
-        if isinstance(event, ShutdownRequested) and self.stage is Stage.SERVING:
-            self.node_state.is_draining = True
-            self._move(Stage.DRAINING, now, plan)
-            self._submit(DrainDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
+        if isinstance(event, ShutdownRequested) and self.stage is ShutdownStage.SERVING:
+            self._drain(now, plan)
         elif isinstance(event, Tick):
-            self._tick(now - self.since, now, plan)
+            self._tick(now, plan)
         return plan
 
-    def _tick(self, span, now, plan):
-        if self.stage is Stage.DRAINING and span >= self.spans.drain:
-            self.finish_by = now + self.spans.finish
-            self._move(Stage.FINISHING, now, plan)
-        elif self.stage is Stage.FINISHING and (
-            now >= self.finish_by or (span >= LAST_BYTES and not self.in_flight())
-        ):
-            self.fleet_join.leaving = True
-            self._move(Stage.LEAVING, now, plan)
-            self._submit(RemoveDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
-        elif (
-            self.stage is Stage.LEAVING
-            and (
-                span >= self.spans.leave or self.descriptor.id not in self.node_state.tables.daemons
-            )
-            and (now >= self.finish_by or not self.in_flight())
-        ):  # a kept connection may have brought one more
-            self._move(Stage.GONE, now, plan)
-
-    def _submit(self, operation, now, plan):
+    def _tick(self, now: int, plan: Plan) -> None:
+        stage_age = now - self.stage_entered_at
+        match self.stage:
+            case ShutdownStage.DRAINING if stage_age >= self.timeouts.drain:
+                self.finish_by = now + self.timeouts.finish
+                self._move_to(ShutdownStage.FINISHING, now, plan)
+            case ShutdownStage.FINISHING if self._is_finished(stage_age, now):
+                self._leave(now, plan)
+            case ShutdownStage.LEAVING if self._has_left(stage_age, now):
+                self._move_to(ShutdownStage.STOPPED, now, plan)
+
+    def _drain(self, now: int, plan: Plan) -> None:
+        self.node_state.is_draining = True
+        self._move_to(ShutdownStage.DRAINING, now, plan)
+        self._submit(DrainDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
+
+    def _is_finished(self, stage_age: int, now: int) -> bool:
+        return now >= self.finish_by or (stage_age >= MIN_FINISHING_US and not self.in_flight())
+
+    def _leave(self, now: int, plan: Plan) -> None:
+        self.fleet_join.is_leaving = True
+        self._move_to(ShutdownStage.LEAVING, now, plan)
+        self._submit(RemoveDaemon(self.descriptor.id, self.descriptor.incarnation), now, plan)
+
+    def _has_left(self, stage_age: int, now: int) -> bool:
+        is_removed = self.descriptor.id not in self.node_state.tables.daemons
+        if not is_removed and stage_age < self.timeouts.leave:
+            return False
+        # A connection that was kept alive may have brought one more request.
+        return now >= self.finish_by or not self.in_flight()
+
+    def _submit(self, operation: DrainDaemon | RemoveDaemon, now: int, plan: Plan) -> None:
         plan.join(self.command_client.step(SubmitOperations(None, (operation,)), now))
 
-    def _move(self, stage, now, plan):
-        assert stage in NEXT[self.stage]
-        self.stage, self.since = stage, now
-        plan.log("drain", stage.value, in_flight=self.in_flight())
+    def _move_to(self, stage: ShutdownStage, now: int, plan: Plan) -> None:
+        self._enter_stage(stage)
+        self.stage_entered_at = now
+        plan.log("shutdown", "stage entered", stage=stage.value, in_flight=self.in_flight())
--- a/src/willowpost/node/node_state.py
+++ b/src/willowpost/node/node_state.py
@@ -8,18 +8,19 @@
 from willowpost.state.lifecycle import DaemonState
 from willowpost.state.snapshot_transfer import SnapshotReceiver, SnapshotSource
 from willowpost.state.tables import Tables
+from willowpost.wire.messages import Decision, Member
 
-# How long an owner may rely on its duty without state updates, and a proxy serves on unless its
-# settings say longer.
-LEASE = 1_500 * MILLI
+# How long the owner of a singleton role may rely on it without state updates, and a proxy serves
+# on unless its settings say longer.
+LEASE_US = 1_500 * MILLI
 # Without a quorum-confirmed update for so long, calls are refused at once. In normal operation the
 # age is 150 to 400 ms, and up to 800 ms when the source has just died.
-OUT_OF_TOUCH_AFTER = 1_200 * MILLI
-# Shorter than LEASE: a daemon that a fault cuts off has heard nothing for so long when its tables
-# are as old as LEASE, and serves on without a pause.
-QUORUM_HEARD_SPAN = 1_000 * MILLI
-TAIL_KEPT = 512
-TAIL_BYTES_KEPT = 2 * 1024 * 1024
+MAX_IN_TOUCH_AGE_US = 1_200 * MILLI
+# Shorter than LEASE_US: a daemon that a fault cuts off has had no message for so long when its
+# tables are as old as LEASE_US, and serves on without a pause.
+QUORUM_CONTACT_TIMEOUT_US = 1_000 * MILLI
+MAX_RECENT_DECISIONS = 512
+MAX_RECENT_DECISIONS_BYTES = 2 * 1024 * 1024
 
 
 @dataclass(slots=True)
@@ -30,79 +31,91 @@
 
     - `tables` never goes back a slot while the process runs.
     - everything accepted before `fresh_as_of` is in `tables`.
-    - `tail` holds the decisions tables.slot - len(tail) .. tables.slot - 1, at most TAIL_KEPT of
-      them and TAIL_BYTES_KEPT bytes.
+    - `recent_decisions` are those of the slots before `tables.slot`, without a gap, at most
+      MAX_RECENT_DECISIONS of them and MAX_RECENT_DECISIONS_BYTES bytes.
+
+    Attributes:
+        descriptor: of this daemon.
+        tables: the replicated tables as far as they are known here.
+        fresh_as_of: see the invariants; None before the first quorum-confirmed update.
+        recent_decisions: the last ones applied, for daemons that poll this one.
+        seed_store_addresses: stores that seeds named, until the tables are fresh.
+        is_draining: whether this process is about to end, as planned.
+        max_stale_serving: µs that it serves on with stale tables; None: the lease.
+        quorum_contact_at: when the last message came that shows a quorum of the voters up and
+            within reach; None: none came.
+        incoming_snapshot: the transfer under way to this daemon.
+        outgoing_snapshot: the snapshot that daemons fetch from this one.
     """
 
     descriptor: DaemonDescriptor
     tables: Tables = field(default_factory=Tables)
     fresh_as_of: int | None = None
-    recent_decisions: tuple = ()
-    seed_store_addresses: tuple = ()  # stores heard of from seeds, until there are fresh tables
-    is_draining: bool = False  # this process is about to end, as planned
-    max_stale_serving: int | None = None  # µs; None: the lease
-    # when the last word came that shows a quorum of the voters up and within reach
+    recent_decisions: tuple[Decision, ...] = ()
+    seed_store_addresses: tuple[str, ...] = ()
+    is_draining: bool = False
+    max_stale_serving: int | None = None
     quorum_contact_at: int | None = None
     incoming_snapshot: SnapshotReceiver = field(default_factory=SnapshotReceiver)
     outgoing_snapshot: SnapshotSource = field(default_factory=SnapshotSource)
 
-    def age(self, now: int) -> int | None:
+    def tables_age(self, now: int) -> int | None:
         """Return the µs since `fresh_as_of`; None before the first fresh state update."""
         return None if self.fresh_as_of is None else now - self.fresh_as_of
 
-    def confirm_as_of(self, moment: int) -> None:
-        """Record that everything accepted before `moment` (µs, own clock) is in `tables`."""
-        self.fresh_as_of = moment if self.fresh_as_of is None else max(self.fresh_as_of, moment)
+    def confirm_fresh(self, as_of: int) -> None:
+        """Record that everything accepted before `as_of` (µs, own clock) is in `tables`."""
+        self.fresh_as_of = as_of if self.fresh_as_of is None else max(self.fresh_as_of, as_of)
 
     def may_serve(self, now: int) -> bool:
-        """Whether requests may be served by the tables held here.
+        """Whether requests may be served by the tables of this daemon.
 
-        They may for LEASE after `fresh_as_of`, and up to `serve_on` after it while this daemon is
-        out of touch. One that hears of a quorum is in touch, however late: what the log accepted
-        since binds it, and it knows that its tables may lack it.
+        They may for LEASE_US after `fresh_as_of`, and up to `max_stale_serving` after it while no
+        quorum is within reach. A daemon that is in contact with a quorum is bound by what the log
+        accepted since, however late it hears of it, and knows that its tables may lack it.
 
-        For duties that the log assigns, see ruling().
+        For roles that the log assigns, see holds_ownership_lease().
         """
-        if self.fresh_as_of is None:
+        age = self.tables_age(now)
+        if age is None:
             return False
-        age = now - self.fresh_as_of
-        if age <= LEASE or self.max_stale_serving is None:
-            return age <= LEASE
+        if age <= LEASE_US or self.max_stale_serving is None:
+            return age <= LEASE_US
         return age <= self.max_stale_serving and not self.has_quorum_contact(now)
 
     def has_quorum_contact(self, now: int) -> bool:
-        """Whether a quorum of the voters was heard of within QUORUM_HEARD_SPAN."""
-        heard_at = self.quorum_contact_at
-        return heard_at is not None and now - heard_at <= QUORUM_HEARD_SPAN
+        """Whether a quorum of the voters was reached within QUORUM_CONTACT_TIMEOUT_US."""
+        contact_at = self.quorum_contact_at
+        return contact_at is not None and now - contact_at <= QUORUM_CONTACT_TIMEOUT_US
 
     def holds_ownership_lease(self, now: int) -> bool:
-        """Whether a duty that the log assigns to this daemon is certainly still its own.
+        """Whether a role that the log assigned to this daemon is certainly still its own.
 
-        A successor waits for LEASE, whatever `serve_on` of this daemon is.
+        A successor waits for LEASE_US, whatever `max_stale_serving` of this daemon is.
         """
-        return self.fresh_as_of is not None and now - self.fresh_as_of <= LEASE
+        age = self.tables_age(now)
+        return age is not None and age <= LEASE_US
 
     def is_in_touch(self, now: int) -> bool:
-        """Whether a quorum confirmed the tables within OUT_OF_TOUCH_AFTER; False at the start."""
-        age = self.age(now)
-        return age is not None and age <= OUT_OF_TOUCH_AFTER
+        """Whether a quorum confirmed the tables within MAX_IN_TOUCH_AGE_US; False at the start."""
+        age = self.tables_age(now)
+        return age is not None and age <= MAX_IN_TOUCH_AGE_US
 
     def store_addresses(self) -> list[str]:
-        """Return the addresses of stores.
+        """Return the addresses of stores, the nearest first.
 
         First those of the own machine, then of the own zone, then the other voters, then those that
         only seeds named.
         """
-        ordered = sorted(
-            self.tables.voters,
-            key=lambda voter: (
-                voter.name != self.descriptor.name,
-                voter.zone != self.descriptor.zone,
-                weight(self.descriptor.id, voter.identity),
-            ),
+        voters = [voter.address for voter in sorted(self.tables.voters, key=self._distance)]
+        return voters + [address for address in self.seed_store_addresses if address not in voters]
+
+    def _distance(self, voter: Member) -> tuple[bool, bool, bytes]:
+        return (
+            voter.name != self.descriptor.name,
+            voter.zone != self.descriptor.zone,
+            weight(self.descriptor.id, voter.identity),
         )
-        known = [voter.address for voter in ordered]
-        return known + [address for address in self.seed_store_addresses if address not in known]
 
     def live_daemons(self, kind: str) -> dict[str, DaemonEntry]:
         """Return all daemons of a kind that are up, by id."""
--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -1,87 +1,105 @@
 """Quorum reads by a follower: used when no source keeps its tables fresh."""
 
+from typing import Any
+
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
 from willowpost.consensus.open_reads import OpenReads
 from willowpost.consensus.thresholds import Thresholds
-from willowpost.node.follower import TOO_OLD, Follower
+from willowpost.node.follower import Follower
 from willowpost.node.node_state import NodeState
+from willowpost.node.source_selection import MAX_TABLE_AGE_US
 from willowpost.wire.messages import QuorumReadRequest, QuorumReadResponse
 
-ASK_EVERY = 150 * MILLI
+READ_INTERVAL_US = 150 * MILLI
+NEVER_US = -SECOND  # stands for the response of a voter that has sent none
 
 
 class QuorumRead:
-    """Asks all voters which slot they have reached.
+    """Requests from all voters the slot that they have reached.
 
-    `fresh_as_of` becomes the time of asking only if n - f voters of the tables held here, asked
-    under one epoch, all named a slot that is held here. What was accepted before is on n - f disks
-    of the voters then, or behind a replacement that the barrier of a new epoch put on n - f disks
-    of the former ones, so one of the voters asked would have named it (rabia.md, exception 1).
+    `fresh_as_of` becomes the time of the request only if n - f voters of the tables, asked under
+    one epoch, all named a slot that the tables have reached. What was accepted before is on n - f
+    disks of the voters then, or behind a replacement that the barrier of a new epoch put on n - f
+    disks of the former ones, so one of the voters asked would have named it (rabia.md, exception
+    1).
     """
 
-    def __init__(self, node_state: NodeState, follower: Follower):
-        self.node_state, self.follower = node_state, follower
+    def __init__(self, node_state: NodeState, follower: Follower) -> None:
+        self.node_state = node_state
+        self.follower = follower
         descriptor = node_state.descriptor
         self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "read")
         self.reads = OpenReads()
-        self.heard_at: dict[str, int] = {}  # voter -> when its last answer came
-        self.asked_at = -ASK_EVERY
+        self.last_response_at: dict[str, int] = {}  # by the voter's identity
+        self.last_read_at = -READ_INTERVAL_US
 
-    def step(self, event, now: int) -> Plan:
+    def step(self, event: Any, now: int) -> Plan:
         """Handle one event.
 
-        On a tick, at most each ASK_EVERY, begin a read if the tables are older than TOO_OLD. A
-        voter that names a later slot is polled.
+        On a tick, at most each READ_INTERVAL_US, begin a read if the tables are older than
+        MAX_TABLE_AGE_US. A voter that names a later slot is polled.
         """
         plan = Plan()
         match event:
-            case Received(source, QuorumReadResponse(nonce, identity, slot)) if (
-                identity in self._voters()
-            ):
-                self._note_heard(identity, now)
-                if nonce in self.reads.open:
-                    self.reads.hear(nonce, identity, slot)
-                    if slot > self.node_state.tables.slot:
-                        self.follower.poll(source, now, plan)
-            case Tick() if (
-                self.node_state.tables.voters
-                and now - self.asked_at >= ASK_EVERY
-                and self._stale(now)
+            case Received(source, QuorumReadResponse() as response) if (
+                response.identity in self._voters()
             ):
-                nonce, self.asked_at = self.nonces.next(), now
-                self.reads.begin(nonce, now, self.node_state.tables.epoch, {})
-                plan.sends += [
-                    (voter.address, QuorumReadRequest(nonce))
-                    for voter in self.node_state.tables.voters
-                ]
-        self._settle()
+                self._handle_response(source, response, now, plan)
+            case Tick() if self._is_read_due(now):
+                self._begin_read(now, plan)
+        self._advance_freshness()
         return plan
 
-    def _note_heard(self, identity, now):
-        """Notes since when a quorum has been heard of; answers that are too late count as well."""
-        self.heard_at[identity] = now
-        moments = sorted(
-            (self.heard_at.get(name, -SECOND) for name in self._voters()), reverse=True
+    def _handle_response(
+        self, source: str, response: QuorumReadResponse, now: int, plan: Plan
+    ) -> None:
+        self._record_contact(response.identity, now)
+        if response.nonce not in self.reads.open:
+            return
+        self.reads.hear(response.nonce, response.identity, response.slot)
+        if response.slot > self.node_state.tables.slot:
+            self.follower.poll(source, now, plan)
+
+    def _is_read_due(self, now: int) -> bool:
+        return (
+            bool(self.node_state.tables.voters)
+            and now - self.last_read_at >= READ_INTERVAL_US
+            and self._is_stale(now)
+        )
+
+    def _begin_read(self, now: int, plan: Plan) -> None:
+        nonce, self.last_read_at = self.nonces.next(), now
+        self.reads.begin(nonce, now, self.node_state.tables.epoch, {})
+        for voter in self.node_state.tables.voters:
+            plan.send(voter.address, QuorumReadRequest(nonce))
+
+    def _record_contact(self, identity: str, now: int) -> None:
+        """Record when a quorum was last reached; late responses count as well."""
+        self.last_response_at[identity] = now
+        newest_first = sorted(
+            (self.last_response_at.get(voter, NEVER_US) for voter in self._voters()), reverse=True
         )
-        node_state, quorum_at = self.node_state, moments[self._quorum() - 1]
+        quorum_at = newest_first[self._quorum() - 1]
         if quorum_at >= 0:
+            node_state = self.node_state
             node_state.quorum_contact_at = max(node_state.quorum_contact_at or 0, quorum_at)
 
-    def _quorum(self):
+    def _quorum(self) -> int:
         return Thresholds(len(self.node_state.tables.voters)).quorum
 
-    def _voters(self):
+    def _voters(self) -> frozenset[str]:
         return self.node_state.tables.voter_identities()
 
-    def _stale(self, now):
-        age = self.node_state.age(now)
-        return age is None or age > TOO_OLD
+    def _is_stale(self, now: int) -> bool:
+        age = self.node_state.tables_age(now)
+        return age is None or age > MAX_TABLE_AGE_US
 
-    def _settle(self):
+    def _advance_freshness(self) -> None:
+        """Confirm the tables as of the newest read that a quorum has answered."""
         tables = self.node_state.tables
-        asked_at = self.reads.settled(tables.epoch, self._quorum(), tables.slot)
-        if asked_at is not None:
-            self.node_state.confirm_as_of(asked_at)
+        requested_at = self.reads.settled(tables.epoch, self._quorum(), tables.slot)
+        if requested_at is not None:
+            self.node_state.confirm_fresh(requested_at)
