--- a/src/willowpost/store/daemon.py
+++ b/src/willowpost/store/daemon.py
@@ -1,6 +1,7 @@
-"""wpstore: the process that holds one replica of the log."""
+"""The process that runs one replica of the log: its disk, its identity and its node."""
 
 import os
+from typing import Any
 
 import gevent
 
@@ -9,20 +10,30 @@
 from willowpost.consensus.replica.records import identity_record
 from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.shell.disk import Disk
+from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.retrying_disk import RetryingDisk
 from willowpost.shell.runner import TICK_SECONDS, Runner
 from willowpost.shell.segment_format import DiskDamagedError
-from willowpost.store.node import StoreNode
+from willowpost.shell.structured_log import StructuredLogger
+from willowpost.store.node import StoreNode, StoreOptions
 from willowpost.wire.messages import Member
 
+IDENTITY_RANDOM_BYTES = 6
+Record = dict[str, Any]
+
 
 class StoreDaemon:
-    """A store with its disk; the identity is made once, and synced before it is sent."""
+    """A store with its disk; the identity is made once, and synced before it is sent.
+
+    Args:
+        settings: checked settings of this process.
+        logger: where log lines go.
+    """
 
-    def __init__(self, place, logger):
-        self.place = place
+    def __init__(self, settings: ProcessSettings, logger: StructuredLogger) -> None:
+        self.settings = settings
         self.logger = logger
-        self.runner = Runner(place.address, logger)
+        self.runner = Runner(settings.address, logger)
         self.node: StoreNode | None = None
 
     def start(self) -> None:
@@ -31,68 +42,88 @@
         A damaged folder is set aside; the store then starts as an empty one.
 
         Raises:
-            UnknownFormat: the newest segment was written in another format.
+            UnknownFormatError: the newest segment was written in another format.
         """
-        place, disk, clock = self.place, Disk(os.path.join(self.place.data, "store")), Clock()
-        try:
-            records = disk.load()
-        except DiskDamagedError as damage:
-            # what it said cannot be known any more: as good as lost
-            aside = disk.set_aside(clock.wall())
-            self.logger.log(
-                "disk", "damaged, set aside", level="error", damage=str(damage), aside=aside
-            )
-            disk = Disk(disk.folder)
-            records = disk.load()
-        self.runner.disk = RetryingDisk(disk, self.logger)
-        if not records:
-            me = Member(
-                f"{place.name}-{os.urandom(6).hex()}", place.name, place.zone, place.address
-            )
-            records = [{**identity_record(me), "may_bootstrap": place.may_bootstrap}]
-            self.runner.disk.rotate(records)
-            self.logger.log("disk", "empty: a new identity was made", identity=me.identity)
-        held = records[0]
-        me = Member(held["identity"], place.name, place.zone, place.address)
-        # an identity made when it might found may go on founding, else bootstrap members that
-        # restart meanwhile would stop the founding
-        rights = VoterPolicy(
-            place.may_bootstrap or held.get("may_bootstrap", False),
-            place.bootstrap_from_seeds,
-            place.max_voters,
-        )
-        node = StoreNode(
-            me,
-            place.seeds,
-            place.voters,
-            records,
-            clock.now(),
-            clock.wall,
-            clock.wall(),
-            place.pace,
-            rights=rights,
-        )
-        self.logger.log(
-            "store",
-            "restored",
-            slot=node.node_state.tables.slot,
-            epoch=node.node_state.tables.epoch,
-        )
-        node.shutdown.spans = place.store_spans()
+        clock = Clock()
+        records = self._load_records(clock) or self._create_identity()
+        node = StoreNode(self._options(records[0], clock.wall()), records, clock.now(), clock.wall)
+        tables = node.node_state.tables
+        self.logger.log("store", "state restored", slot=tables.slot, epoch=tables.epoch)
+        node.shutdown.timeouts = self.settings.store_spans()
         self.node = node
         self.runner.start(node)
 
     def stop(self) -> None:
-        """Hand the voter's place over or settle (`store/graceful_shutdown.py`), then end.
+        """Hand over or await the sync (`store/graceful_shutdown.py`), then end.
 
         A store that is stopped at any other moment loses nothing either: all it has sent is on its
         disk. A disk that hangs does not delay the end: this task's own clock keeps the time limits.
         """
         if self.node is None:
             return
-        spans, clock = self.node.shutdown.spans, self.runner.clock
-        give_up_at = clock.now() + max(spans.handover, spans.settle)
+        shutdown, clock = self.node.shutdown, self.runner.clock
+        give_up_at = clock.now() + max(shutdown.timeouts.handover, shutdown.timeouts.sync)
         self.runner.inbox.put(ShutdownRequested())
-        while not self.node.shutdown.gone and clock.now() < give_up_at:
+        while not shutdown.is_stopped and clock.now() < give_up_at:
             gevent.sleep(TICK_SECONDS)
         self.runner.mesh.stop()
+
+    def _load_records(self, clock: Clock) -> list[Record]:
+        """Open the disk for the runner and return its records, the oldest first.
+
+        Raises:
+            UnknownFormatError: the newest segment was written in another format.
+            ValueError: the settings name no data folder.
+        """
+        if self.settings.data is None:
+            raise ValueError("a store needs a data folder")
+        disk = Disk(os.path.join(self.settings.data, "store"))
+        try:
+            records: list[Record] = disk.load()
+        except DiskDamagedError as damage:
+            # What this store has promised and voted is not known any more: it counts as lost.
+            set_aside = disk.set_aside(clock.wall())
+            self.logger.log(
+                "disk",
+                "damaged, set aside",
+                level="error",
+                damage=str(damage),
+                folder=set_aside,
+            )
+            disk = Disk(disk.folder)
+            records = disk.load()
+        self.runner.disk = RetryingDisk(disk, self.logger)
+        return records
+
+    def _create_identity(self) -> list[Record]:
+        """Make an identity for an empty folder and write it to disk; returns the records."""
+        settings = self.settings
+        identity = f"{settings.name}-{os.urandom(IDENTITY_RANDOM_BYTES).hex()}"
+        record = {
+            **identity_record(self._member(identity)),
+            "may_bootstrap": settings.may_bootstrap,
+        }
+        self.runner.disk.rotate([record])
+        self.logger.log("disk", "empty folder, new identity", identity=identity)
+        return [record]
+
+    def _options(self, identity: Record, incarnation: int) -> StoreOptions:
+        settings = self.settings
+        return StoreOptions(
+            member=self._member(identity["identity"]),
+            seeds=tuple(settings.seeds),
+            bootstrap_voters=settings.voters,
+            incarnation=incarnation,
+            tuning=settings.pace,
+            voter_policy=VoterPolicy(
+                # An identity that was made when it might bootstrap may go on with it, else
+                # bootstrap members that restart meanwhile would stop the bootstrap.
+                settings.may_bootstrap or identity.get("may_bootstrap", False),
+                settings.bootstrap_from_seeds,
+                settings.max_voters,
+            ),
+        )
+
+    def _member(self, identity: str) -> Member:
+        settings = self.settings
+        return Member(identity, settings.name, settings.zone, settings.address)
--- a/src/willowpost/store/main.py
+++ b/src/willowpost/store/main.py
@@ -1,7 +1,9 @@
 """The command `wpstore`."""
 
 import willowpost.shell.starting  # noqa: F401  before what takes long to import
+from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.program import DaemonCommand, run
+from willowpost.shell.structured_log import StructuredLogger
 from willowpost.store.daemon import StoreDaemon
 
 
@@ -16,13 +18,14 @@
   <info>wpstore --name core-1 --zone a --address 127.0.0.1:7001 \
 --seeds 127.0.0.1:7002,127.0.0.1:7003 --data ./core-1</info>
 
-Five empty stores that find each other through their seeds found the fleet. A store
-whose folder was lost comes back under a new identity, learns, and takes the seat."""
+Five empty stores that find each other through their seeds bootstrap the fleet. A store
+whose folder was lost comes back under a new identity, catches up, and replaces its
+former identity as a voter."""
     needs = ("data",)
 
-    def build(self, place, logger):
-        """Make the daemon of checked settings (a `ProcessSettings`)."""
-        return StoreDaemon(place, logger)
+    def build(self, settings: ProcessSettings, logger: StructuredLogger) -> StoreDaemon:
+        """Make the daemon of checked settings."""
+        return StoreDaemon(settings, logger)
 
 
 def main() -> None:
