--- a/tests/node/test_follower.py
+++ b/tests/node/test_follower.py
@@ -1,10 +1,10 @@
-"""Whom a follower asks when nobody it knows of answers any more."""
+"""The seeds as a follower's last resort when no known daemon answers any more."""
 
 import unittest
 
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, SettingsChanged, Tick
-from willowpost.node.follower import WITHOUT_SOURCE_AFTER, Follower
+from willowpost.node.follower import SOURCES_LOST_AFTER_US, Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.state.tables import Tables
 from willowpost.wire.messages import Hello, Member, Poll, StateUpdate
@@ -21,7 +21,7 @@
         self.node_state = NodeState(
             DESCRIPTOR, Tables(slot=50, epoch=1, voters=members("A", "B", "C")), fresh_as_of=0
         )
-        self.follower = Follower(self.node_state, ["x:1"], tree=False)
+        self.follower = Follower(self.node_state, ["x:1"], may_poll_proxies=False)
 
     def ticks(self, start, span=3 * SECOND):
         return [
@@ -36,11 +36,11 @@
     def polled(self, sends):
         return {address for address, message in sends if isinstance(message, Poll)}
 
-    def test_seeds_are_asked_only_once_no_state_update_came_for_three_seconds(self):
-        self.assertEqual(set(), self.greeted(self.ticks(0, WITHOUT_SOURCE_AFTER)))
-        self.assertEqual({"x:1"}, self.greeted(self.ticks(WITHOUT_SOURCE_AFTER + MILLI)))
+    def test_seeds_are_greeted_only_once_no_state_update_came_for_three_seconds(self):
+        self.assertEqual(set(), self.greeted(self.ticks(0, SOURCES_LOST_AFTER_US)))
+        self.assertEqual({"x:1"}, self.greeted(self.ticks(SOURCES_LOST_AFTER_US + MILLI)))
 
-    def test_what_the_new_seeds_name_is_polled_and_forgotten_once_there_are_state_update(self):
+    def test_stores_that_new_seeds_name_are_polled_until_a_state_update_comes(self):
         self.follower.step(SettingsChanged(("y:1",)), 0)
         self.assertEqual({"y:1"}, self.greeted(self.ticks(4 * SECOND)))
         self.follower.step(
@@ -61,7 +61,7 @@
         )
         self.assertEqual({"C:1", "D:1", "E:1"}, set(self.node_state.store_addresses()))
 
-    def test_it_never_goes_back_whomever_it_asks(self):
+    def test_tables_never_go_back_whichever_source_is_polled(self):
         self.ticks(4 * SECOND)
         self.follower.step(
             Received("x:1", Hello(answer=True, bootstrapped=True, known=members("D"))), 7 * SECOND
@@ -75,7 +75,7 @@
         )
         self.assertEqual((50, 1), (self.node_state.tables.slot, self.node_state.tables.epoch))
 
-    def test_who_has_state_update_heeds_no_greeting(self):
+    def test_hellos_are_ignored_while_state_updates_come(self):
         self.follower.step(
             Received("x:1", Hello(answer=True, bootstrapped=True, known=members("D"))), SECOND
         )
--- a/tests/node/test_graceful_shutdown.py
+++ b/tests/node/test_graceful_shutdown.py
@@ -1,6 +1,7 @@
-"""The stages of a planned end, by the clock alone."""
+"""The stages of a graceful shutdown and their timeouts."""
 
 import unittest
+from types import SimpleNamespace
 
 from tests.support.entries import daemon_entry
 from willowpost.common.clock import MILLI
@@ -9,8 +10,8 @@
 from willowpost.node.graceful_shutdown import (
     GracefulShutdown,
     ShutdownRequested,
+    ShutdownStage,
     ShutdownTimeouts,
-    Stage,
 )
 from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.state.operations import DrainDaemon, RemoveDaemon
@@ -19,7 +20,7 @@
 DESCRIPTOR = DaemonDescriptor("e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7)
 
 
-class Asker:
+class RecordingClient:
     def __init__(self):
         self.operations = []
 
@@ -33,11 +34,11 @@
         self.node_state = NodeState(
             DESCRIPTOR, Tables(daemons={DESCRIPTOR.id: daemon_entry(DESCRIPTOR.id, incarnation=7)})
         )
-        self.command_client = Asker()
+        self.command_client = RecordingClient()
         self.shutdown = GracefulShutdown(
             self.node_state,
             self.command_client,
-            type("Joins", (), {"leaving": False})(),
+            SimpleNamespace(is_leaving=False),
             ShutdownTimeouts(2500 * MILLI, 2000 * MILLI, 600 * MILLI),
         )
         self.in_flight = 0
@@ -55,7 +56,11 @@
         self.assertTrue(self.node_state.is_draining)
         self.assertEqual(
             (2500, 2600, 3200),
-            (self.until(Stage.FINISHING), self.until(Stage.LEAVING), self.until(Stage.GONE)),
+            (
+                self.until(ShutdownStage.FINISHING),
+                self.until(ShutdownStage.LEAVING),
+                self.until(ShutdownStage.STOPPED),
+            ),
         )
         self.assertEqual(
             [DrainDaemon(DESCRIPTOR.id, 7), RemoveDaemon(DESCRIPTOR.id, 7)],
@@ -63,19 +68,21 @@
         )
 
     def test_whoever_has_left_the_log_need_not_wait(self):
-        self.until(Stage.LEAVING)
+        self.until(ShutdownStage.LEAVING)
         self.node_state.tables = Tables()
         self.shutdown.step(Tick(), 2700 * MILLI)
-        self.assertIs(Stage.GONE, self.shutdown.stage)
+        self.assertIs(ShutdownStage.STOPPED, self.shutdown.stage)
 
     def test_a_request_in_flight_is_waited_for_and_no_longer_than_the_spans(self):
         self.in_flight = 1
-        self.assertEqual((4500, 5100), (self.until(Stage.LEAVING), self.until(Stage.GONE)))
+        self.assertEqual(
+            (4500, 5100), (self.until(ShutdownStage.LEAVING), self.until(ShutdownStage.STOPPED))
+        )
 
-    def test_one_more_over_a_kept_connection_while_it_leaves_is_waited_for(self):
-        self.until(Stage.LEAVING)
+    def test_one_more_request_on_a_persistent_connection_while_it_leaves_is_waited_for(self):
+        self.until(ShutdownStage.LEAVING)
         self.in_flight = 1
-        self.assertEqual(4500, self.until(Stage.GONE))
+        self.assertEqual(4500, self.until(ShutdownStage.STOPPED))
 
 
 if __name__ == "__main__":
--- a/tests/node/test_request_number_reuse.py
+++ b/tests/node/test_request_number_reuse.py
@@ -1,4 +1,4 @@
-"""What was asked by a former life is no answer to this one: its numbers are never used again."""
+"""Responses to requests of a previous incarnation count for nothing: nonces are not reused."""
 
 import unittest
 
@@ -21,7 +21,7 @@
         "r/registry", "registry", "core", "r", "a", "r:1", "r:2", incarnation
     )
     node_state = NodeState(descriptor, Tables(slot=5, epoch=1, voters=VOTERS), fresh_as_of=age)
-    follower = Follower(node_state, [], tree=False)
+    follower = Follower(node_state, [], may_poll_proxies=False)
     return node_state, [follower, QuorumRead(node_state, follower)]
 
 
@@ -34,51 +34,51 @@
     ]
 
 
-def hear(controllers, message):
+def deliver(controllers, message):
     for controller in controllers:
         controller.step(Received("A:1", message), SECOND)
 
 
 class RequestNumberReuse(unittest.TestCase):
-    def test_late_answers_to_a_followers_former_life_make_nothing_fresh(self):
-        _, former = follower_of(1_000_000)
-        messages = sent(former)
+    def test_late_responses_to_a_followers_previous_incarnation_make_nothing_fresh(self):
+        _, previous = follower_of(1_000_000)
+        messages = sent(previous)
         polls = [message for message in messages if isinstance(message, Poll)]
         reads = [message for message in messages if isinstance(message, QuorumReadRequest)]
         node_state, controllers = follower_of(9_000_000)
         sent(controllers)
         for poll in polls:
-            hear(controllers, StateUpdate(poll.nonce, 5, 0, True))
+            deliver(controllers, StateUpdate(poll.nonce, 5, 0, True))
         for read in reads:
             for voter in "AB":
-                hear(controllers, QuorumReadResponse(read.nonce, voter, 5))
+                deliver(controllers, QuorumReadResponse(read.nonce, voter, 5))
         self.assertTrue(polls and reads)
         self.assertIsNone(node_state.fresh_as_of)
 
-    def test_late_answers_to_a_stores_former_read_do_not_make_it_whole(self):
-        """It restarts from its disk, cut off; what comes late was said to the life before."""
+    def test_late_responses_to_a_stores_previous_incarnation_make_nothing_fresh(self):
+        """It restarts from its disk, partitioned; late responses are to the previous incarnation."""
         world = CoreWorld(3, zones=("a", "b", "c"))
         self.assertTrue(world.until(world.bootstrapped, seconds(5)))
-        asked = set()
+        nonces = set()
         world.checks.append(
-            lambda _, seat, event, plan: asked.update(
+            lambda _, seat, event, plan: nonces.update(
                 message.nonce
                 for address, message in plan.sends
                 if seat.address == "s0" and isinstance(message, QuorumReadRequest)
             )
         )
         world.run(seconds(3))
-        former = set(asked)
+        previous_nonces = set(nonces)
         world.crash("s0")
         world.cut(["s0"], ["s1", "s2"])
         world.start("s0")
         node_state = world.seats["s0"].node.node_state
         for _ in range(40):
             world.run(seconds(0.05))
-            for nonce in former:
+            for nonce in previous_nonces:
                 for voter in node_state.tables.voters:
                     world.give("s0", Received("s1", QuorumReadResponse(nonce, voter.identity, 0)))
-        self.assertTrue(former)
+        self.assertTrue(previous_nonces)
         self.assertIsNone(node_state.fresh_as_of)
 
 
--- a/tests/node/test_stale_incarnation_answers.py
+++ b/tests/node/test_stale_incarnation_answers.py
@@ -1,4 +1,4 @@
-"""Answers to the questions of a process's earlier incarnation, which reach the next one late."""
+"""Late responses to requests of a process's previous incarnation."""
 
 import unittest
 from itertools import pairwise
@@ -20,7 +20,7 @@
 from willowpost.state.entries import Ownership
 from willowpost.state.operations import EndOrigin
 from willowpost.state.tables import Tables
-from willowpost.store.node import StoreNode
+from willowpost.store.node import StoreNode, StoreOptions
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import (
     AdmissionTokenRequest,
@@ -61,44 +61,54 @@
     return node_state
 
 
-def asked(sends, kind):
+def first_sent(sends, kind):
     return next(message for _, message in sends if isinstance(message, kind))
 
 
 class StoreReads(unittest.TestCase):
-    """A voter's word about its slot, given to an incarnation that is gone, is too old for a read."""
+    """A voter's response to a previous incarnation is too old for a quorum read."""
 
     def store(self, incarnation):
-        return StoreNode(VOTERS[0], ["A:2"], 3, FOUND, 0, lambda: incarnation, incarnation)
+        return StoreNode(
+            StoreOptions(
+                member=VOTERS[0],
+                seeds=("A:2",),
+                bootstrap_voters=3,
+                incarnation=incarnation,
+            ),
+            FOUND,
+            0,
+            lambda: incarnation,
+        )
 
     def read(self, store):
-        """The first question, and the moment it was asked."""
+        """The first request, and the moment it was sent."""
         for now in range(0, SECOND, 20 * MILLI):
             sends = store.step(Tick(), now).sends
             if any(isinstance(message, QuorumReadRequest) for _, message in sends):
-                return asked(sends, QuorumReadRequest), now
+                return first_sent(sends, QuorumReadRequest), now
         raise AssertionError("no quorum read was begun")
 
     def test_an_answer_to_the_incarnation_before_counts_for_nothing(self):
         old, _ = self.read(self.store(FIRST))
         store = self.store(SECOND_INCARNATION)
         _, now = self.read(store)
-        # B said so before it accepted another order with C
+        # B responded before it accepted another command with C
         store.step(Received("B:1", QuorumReadResponse(old.nonce, "B", 0)), now + MILLI)
         self.assertIsNone(store.node_state.fresh_as_of)
 
-    def test_an_answer_to_its_own_question_counts(self):
+    def test_an_answer_to_its_own_request_counts(self):
         store = self.store(SECOND_INCARNATION)
-        question, now = self.read(store)
-        store.step(Received("B:1", QuorumReadResponse(question.nonce, "B", 0)), now + MILLI)
+        request, now = self.read(store)
+        store.step(Received("B:1", QuorumReadResponse(request.nonce, "B", 0)), now + MILLI)
         self.assertEqual(now, store.node_state.fresh_as_of)
 
 
 class FollowerReads(unittest.TestCase):
     def polled(self, incarnation):
         node_state = NodeState(descriptor(incarnation), Tables(slot=5, epoch=1, voters=VOTERS))
-        follower = Follower(node_state, ["x:1"], tree=False)
-        return follower, asked(follower.step(Tick(), SECOND).sends, Poll)
+        follower = Follower(node_state, ["x:1"], may_poll_proxies=False)
+        return follower, first_sent(follower.step(Tick(), SECOND).sends, Poll)
 
     def test_a_state_update_for_the_incarnation_before_makes_nothing_fresh(self):
         _, old = self.polled(FIRST)
@@ -108,12 +118,12 @@
 
     def read(self, incarnation):
         node_state = NodeState(descriptor(incarnation), Tables(slot=5, epoch=1, voters=VOTERS))
-        reads = QuorumRead(node_state, Follower(node_state, ["x:1"], tree=False))
-        return reads, asked(reads.step(Tick(), SECOND).sends, QuorumReadRequest)
+        reads = QuorumRead(node_state, Follower(node_state, ["x:1"], may_poll_proxies=False))
+        return reads, first_sent(reads.step(Tick(), SECOND).sends, QuorumReadRequest)
 
     def test_voters_that_answered_the_incarnation_before_make_nothing_fresh(self):
         _, old = self.read(FIRST)
-        reads, question = self.read(SECOND_INCARNATION)
+        reads, request = self.read(SECOND_INCARNATION)
         for name in "AB":
             reads.step(
                 Received(f"{name}:1", QuorumReadResponse(old.nonce, name, 5)), SECOND + MILLI
@@ -121,7 +131,7 @@
         self.assertIsNone(reads.node_state.fresh_as_of)
         for name in "AB":
             reads.step(
-                Received(f"{name}:1", QuorumReadResponse(question.nonce, name, 5)), SECOND + MILLI
+                Received(f"{name}:1", QuorumReadResponse(request.nonce, name, 5)), SECOND + MILLI
             )
         self.assertEqual(SECOND, reads.node_state.fresh_as_of)
 
@@ -130,31 +140,29 @@
     def share(self, incarnation):
         service = ServiceCard(1000, 10, ("p/proxy",), {"p/proxy": 1.0}, ())
         taker = QuotaShareTaker(proxy_state(incarnation, service))
-        return taker, asked(taker.step(Tick(), SECOND).sends, QuotaShareRequest)
+        return taker, first_sent(taker.step(Tick(), SECOND).sends, QuotaShareRequest)
 
     def test_a_grant_to_the_incarnation_before_is_not_prolonged(self):
         _, old = self.share(FIRST)
-        taker, question = self.share(SECOND_INCARNATION)
+        taker, request = self.share(SECOND_INCARNATION)
         taker.step(Received("o:1", QuotaShareResponse(old.nonce, "g", 1, 9000)), SECOND + MILLI)
         self.assertEqual({}, taker.node_state.grants)
-        # nor one for another service than the question was about
-        taker.step(
-            Received("o:1", QuotaShareResponse(question.nonce, "h", 1, 9000)), SECOND + MILLI
-        )
+        # nor one for another service than that of the request
+        taker.step(Received("o:1", QuotaShareResponse(request.nonce, "h", 1, 9000)), SECOND + MILLI)
         self.assertEqual({}, taker.node_state.grants)
 
     def wanted(self, incarnation):
         taker = AdmissionTokenTaker(proxy_state(incarnation))
-        return taker, asked(
+        return taker, first_sent(
             taker.step(AdmissionTokenWanted("ticket", "g"), SECOND).sends, AdmissionTokenRequest
         )
 
     def test_a_token_given_to_the_incarnation_before_lets_nothing_in(self):
         _, old = self.wanted(FIRST)
-        taker, question = self.wanted(SECOND_INCARNATION)
+        taker, request = self.wanted(SECOND_INCARNATION)
         given = AdmissionTokenResponse(old.nonce, True)
         self.assertEqual([], taker.step(Received("o:1", given), SECOND).replies)
-        given = AdmissionTokenResponse(question.nonce, True)
+        given = AdmissionTokenResponse(request.nonce, True)
         self.assertEqual([("ticket", True)], taker.step(Received("o:1", given), SECOND).replies)
 
 
@@ -170,14 +178,14 @@
                 },
             )
             watch = FailureDetector(descriptor(incarnation), lambda: tables, None)
-            return watch, asked(watch.step(Tick(), SECOND).sends, Ping)
+            return watch, first_sent(watch.step(Tick(), SECOND).sends, Ping)
 
         _, old = pinged(FIRST)
-        watch, question = pinged(SECOND_INCARNATION)
+        watch, request = pinged(SECOND_INCARNATION)
         watch.step(Received("o:1", Pong(old.nonce, "o@3")), 2 * SECOND)
-        self.assertEqual(SECOND, watch.heard["o@3"])
-        watch.step(Received("o:1", Pong(question.nonce, "o@3")), 2 * SECOND)
-        self.assertEqual(2 * SECOND, watch.heard["o@3"])
+        self.assertEqual(SECOND, watch.last_pong_at["o@3"])
+        watch.step(Received("o:1", Pong(request.nonce, "o@3")), 2 * SECOND)
+        self.assertEqual(2 * SECOND, watch.last_pong_at["o@3"])
 
 
 class Commands(unittest.TestCase):
@@ -185,9 +193,9 @@
         client = CommandClient("p/proxy", incarnation, lambda: ["A:1"], lambda: incarnation)
         plan = client.step(SubmitOperations("token", (EndOrigin("x"),)), 0)
         plan.join(client.step(Tick(), SECOND))
-        return client, asked(plan.sends, SubmitCommand).command
+        return client, first_sent(plan.sends, SubmitCommand).command
 
-    def test_the_acceptance_of_a_former_incarnations_command_settles_nothing(self):
+    def test_the_acceptance_of_a_previous_incarnations_command_completes_nothing(self):
         _, old = self.submitted(FIRST)
         client, command = self.submitted(SECOND_INCARNATION)
         self.assertEqual(old.counter, command.counter)
@@ -211,8 +219,8 @@
         self.assertGreater(apart, 1_000_000)
 
     def test_the_greatest_of_them_goes_over_the_wire(self):
-        held = QuorumReadRequest(2**56 + 2**40)
-        self.assertEqual(("a:1", held), Codec().decode(Codec().encode("a:1", held)))
+        request = QuorumReadRequest(2**56 + 2**40)
+        self.assertEqual(("a:1", request), Codec().decode(Codec().encode("a:1", request)))
 
 
 if __name__ == "__main__":
--- a/tests/store/test_store_shutdown.py
+++ b/tests/store/test_store_shutdown.py
@@ -1,4 +1,4 @@
-"""Planned ends of stores, with real processes on loopback: a restart, and a machine taken away."""
+"""Graceful shutdown of stores with real processes: a restart, and a machine that is removed."""
 
 import json
 import socket
@@ -48,20 +48,20 @@
                 stdin=subprocess.DEVNULL,
             )
 
-    def said(self, number: int, words: str) -> int:
-        """How often its log has these words."""
-        return (self.folder / f"{number}.log").read_text().count(words)
+    def log_count(self, number: int, text: str) -> int:
+        """How often its log contains this text."""
+        return (self.folder / f"{number}.log").read_text().count(text)
 
     def terminate(self, number: int) -> tuple[int | None, float]:
         """SIGTERM; its exit code and how long it took, in seconds."""
-        process, began = self.running[number], time.monotonic()
+        process, started_at = self.running[number], time.monotonic()
         process.terminate()
         try:
             code = process.wait(HANDOVER_SECONDS + 5)
         except subprocess.TimeoutExpired:
-            return None, time.monotonic() - began
+            return None, time.monotonic() - started_at
         del self.running[number]
-        return code, time.monotonic() - began
+        return code, time.monotonic() - started_at
 
     def end(self) -> None:
         for process in self.running.values():
@@ -71,11 +71,11 @@
 
 def free_ports(count: int) -> list[int]:
     sockets = [socket.socket() for _ in range(count)]
-    for held in sockets:
-        held.bind(("127.0.0.1", 0))
-    ports = [held.getsockname()[1] for held in sockets]
-    for held in sockets:
-        held.close()
+    for each in sockets:
+        each.bind(("127.0.0.1", 0))
+    ports = [each.getsockname()[1] for each in sockets]
+    for each in sockets:
+        each.close()
     return ports
 
 
@@ -93,24 +93,24 @@
         self.stores = Stores(Path(folder.name))
         self.addCleanup(self.stores.end)
 
-    def test_a_restart_settles_and_with_a_learner_there_the_seat_is_handed_over(self):
+    def test_a_restart_awaits_the_sync_and_with_a_learner_up_the_vote_is_handed_over(self):
         stores = self.stores
         for number in range(3):
             stores.start(number)
         for number in range(3):
             self.assertTrue(
-                until(lambda n=number: stores.said(n, "fleet bootstrapped"), UP_SECONDS)
+                until(lambda n=number: stores.log_count(n, "fleet bootstrapped"), UP_SECONDS)
             )
         code, seconds = stores.terminate(1)
-        self.assertEqual((0, 0), (code, stores.said(1, "handing over")))
-        self.assertEqual(1, stores.said(1, "settling"))
+        self.assertEqual((0, 0), (code, stores.log_count(1, "handing over")))
+        self.assertEqual(1, stores.log_count(1, "awaiting sync"))
         self.assertLess(seconds, SETTLE_SECONDS + 2)
         stores.start(1)
         stores.start(3, may_bootstrap=False)
-        self.assertTrue(until(lambda: stores.said(3, "a learner that holds"), UP_SECONDS))
+        self.assertTrue(until(lambda: stores.log_count(3, "learner up to date"), UP_SECONDS))
         code, seconds = stores.terminate(2)
-        self.assertEqual((0, 1), (code, stores.said(2, "handing over")))
-        self.assertEqual(1, stores.said(3, "asks for a voter's seat"))
+        self.assertEqual((0, 1), (code, stores.log_count(2, "handing over")))
+        self.assertEqual(1, stores.log_count(3, "replacement of a voter requested"))
         self.assertLess(seconds, HANDOVER_SECONDS)
 
 
