--- a/src/willowpost/registry/main.py
+++ b/src/willowpost/registry/main.py
@@ -2,7 +2,9 @@
 
 import willowpost.shell.starting  # noqa: F401  before what takes long to import
 from willowpost.registry.daemon import RegistryDaemon
+from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.program import DaemonCommand, run
+from willowpost.shell.structured_log import StructuredLogger
 
 
 class RegistryCommand(DaemonCommand):
@@ -10,8 +12,8 @@
 
     name = "wpregistry"
     description = (
-        "Takes the outside calls: origins register and beat, "
-        "operators change configurations, purge, empty zones."
+        "Serves the control API: origins register and send heartbeats, "
+        "operators change configurations, purge, evacuate zones."
     )
     help = """A core machine runs one <info>wpstore</info> and one <info>wpregistry</info>.
 
@@ -21,9 +23,9 @@
   <info>curl http://127.0.0.1:8101/v1/status</info>"""
     needs = ("http",)
 
-    def build(self, place, logger):
-        """Make the daemon of checked settings (a `ProcessSettings`)."""
-        return RegistryDaemon(place, logger)
+    def build(self, settings: ProcessSettings, logger: StructuredLogger) -> RegistryDaemon:
+        """Make the daemon of checked settings."""
+        return RegistryDaemon(settings, logger)
 
 
 def main() -> None:
--- a/src/willowpost/registry/origin_health.py
+++ b/src/willowpost/registry/origin_health.py
@@ -3,24 +3,35 @@
 All state here is soft: it is rebuilt from the heartbeats that come.
 """
 
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any, Self
 
 from willowpost.common.clock import MILLI, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
+from willowpost.node.command_client import CommandClient
+from willowpost.node.node_state import NodeState
+from willowpost.state.entries import OriginEntry
 from willowpost.state.lifecycle import OriginState
 from willowpost.state.operations import ChangeOriginState
 from willowpost.wire.messages import OriginHeartbeat
 
-LOOK_EVERY = 100 * MILLI
-ENTER_AFTER = 2_500 * MILLI  # longer than any lease plus the grace of a request under way
-DEFAULT_SILENT = 6 * SECOND
-ASK_EVERY = 1 * SECOND
-# proposed anew as long as it holds: it must not be carried out long after it ceased to hold
-PROPOSAL_LIFETIME = 2 * SECOND
-PROBES_FAILED = 2
-PROBE_EVERY = 1 * SECOND
+CHECK_INTERVAL_US = 100 * MILLI
+# Longer than any lease plus the grace of a request in flight.
+ENTER_DELAY_US = 2_500 * MILLI
+PROPOSAL_INTERVAL_US = 1 * SECOND
+# Proposed anew as long as it holds: it must not be applied long after it ceased to hold.
+PROPOSAL_LIFETIME_US = 2 * SECOND
+HEALTH_CHECK_INTERVAL_US = 1 * SECOND
+MAX_FAILED_HEALTH_CHECKS = 2
+DEFAULT_HEARTBEAT_TIMEOUT_SECONDS = 6.0
+DEFAULT_SLOW_START_SECONDS = 10.0
+
+# (origin, address, path or None) -> None; the outcome comes back as `HealthCheckFinished`.
+StartHealthCheck = Callable[[str, str, str | None], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,12 +39,12 @@
     """A heartbeat that an origin sent to this very registry.
 
     Attributes:
-        beat: the heartbeat.
-        told: whether it says if the origin is cold.
+        heartbeat: as it is passed on.
+        reports_warm_up: whether it says if the origin is warming up.
     """
 
-    beat: OriginHeartbeat
-    told: bool = False
+    heartbeat: OriginHeartbeat
+    reports_warm_up: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,76 +60,174 @@
     is_healthy: bool
 
 
+class ChangeReason(StrEnum):
+    """Why the state of an origin should change, for the log lines."""
+
+    HEARTBEAT = "heartbeat"  # the origin itself says so
+    TIMED_OUT = "heartbeats missing"
+    ADDRESS_FREE = "address free"  # nobody sends requests of its former service any more
+    SLOW_START_OVER = "slow start over"
+
+
+@dataclass(slots=True)
+class OriginRecord:
+    """What this registry knows of an origin besides the tables; times are µs of the own clock.
+
+    Attributes:
+        last_seen_at: of the last heartbeat or successful health check; None: none came, and the
+            origin was not checked yet.
+        state: in which the tables were last seen to have it.
+        state_since: when they were first seen to have it in that state.
+        failed_health_checks: since the last sign of life.
+        health_checked_at: start of the last health check; None: none was started.
+        proposed_at: of the last proposal after a check; None: none was made.
+        heartbeat_number: the last one known; 0: none.
+    """
+
+    last_seen_at: int | None = None
+    state: OriginState | None = None
+    state_since: int = 0
+    failed_health_checks: int = 0
+    health_checked_at: int | None = None
+    proposed_at: int | None = None
+    heartbeat_number: int = 0
+
+    def observe_state(self, state: OriginState, now: int) -> None:
+        """Record in which state the tables have the origin now."""
+        if self.state != state:
+            self.state, self.state_since = state, now
+
+
+@dataclass(frozen=True, slots=True)
+class HealthSettings:
+    """A service's settings for the health of its origins.
+
+    Attributes:
+        heartbeat_timeout_us: without heartbeats for longer, an origin is gone.
+        slow_start_us: how long an origin that does not report its warm-up is given.
+        health_check_path: None: the default path.
+    """
+
+    heartbeat_timeout_us: int
+    slow_start_us: int
+    health_check_path: str | None
+
+    @classmethod
+    def of_service(cls, service: Mapping[str, Any]) -> Self:
+        """Read them from a service of the configuration."""
+        timeout_seconds = service.get("silent_seconds", DEFAULT_HEARTBEAT_TIMEOUT_SECONDS)
+        slow_start_seconds = service.get("ramp_seconds", DEFAULT_SLOW_START_SECONDS)
+        return cls(
+            heartbeat_timeout_us=int(timeout_seconds * SECOND),
+            slow_start_us=int(slow_start_seconds * SECOND),
+            health_check_path=service.get("health_check_path"),
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class OriginCheck:
+    """What a check of an origin goes by.
+
+    Attributes:
+        name: of the origin in the tables.
+        entry: the origin in the tables.
+        record: what this registry knows of it besides.
+        settings: of its service.
+    """
+
+    name: str
+    entry: OriginEntry
+    record: OriginRecord
+    settings: HealthSettings
+
+
 class OriginHealthMonitor:
     """Passes heartbeats on and proposes changes of the origins' states to the log.
 
     Only the origin's owner among the live registries proposes for it, except that what a heartbeat
-    says of being cold is proposed by the registry that received it. A heartbeat with a number not
+    says of warming up is proposed by the registry that received it. A heartbeat with a number not
     above the last one known changes nothing.
 
-    Silence counts from the latest of: the last heartbeat, the first check of the origin here, and
-    the last moment at which this registry was out of touch with the core or not among its live
+    A time-out counts from the latest of: the last heartbeat, the first check of the origin here,
+    and the last moment at which this registry was out of touch with the core or not among its live
     registries. Until then heartbeats may have gone to others that did not pass them on here.
     """
 
-    def __init__(self, node_state, command_client, probe):
+    def __init__(
+        self,
+        node_state: NodeState,
+        command_client: CommandClient,
+        start_health_check: StartHealthCheck,
+    ) -> None:
         self.node_state = node_state
         self.command_client = command_client
-        # (origin, address, path) -> None; the outcome comes back as a "probed" event
-        self.probe = probe
-        self.heard: dict[str, int] = {}
-        self.seen: dict[str, tuple] = {}  # origin -> (state, since)
-        self.failed: dict[str, int] = {}
-        self.probed_at: dict[str, int] = {}
-        self.asked_at: dict[str, int] = {}
-        self.numbers: dict[str, int] = {}
-        self.looked_at = 0
-        # the last moment (µs) at which beats that others took did not surely come here
-        self.unaware_at = 0
-
-    def step(self, event, now: int) -> Plan:
+        self.start_health_check = start_health_check
+        self.records: dict[str, OriginRecord] = {}
+        self.checked_at = 0
+        # The last moment (µs) at which others did not surely pass on their heartbeats.
+        self.uninformed_at = 0
+
+    def step(self, event: object, now: int) -> Plan:
         """Handle one event.
 
         `OriginHeartbeat` comes from another registry, `HeartbeatReceived` from an origin,
-        `HealthCheckFinished` from a health check. On a tick, at most each LOOK_EVERY, the origins
-        that this registry owns are checked.
+        `HealthCheckFinished` from a health check. On a tick, at most each CHECK_INTERVAL_US, the
+        origins that this registry owns are checked.
         """
         plan = Plan()
         match event:
-            case Received(_, OriginHeartbeat() as beat) if not self._late(beat):
-                self._hear(beat, now)
-            case HeartbeatReceived(beat) if not self._late(beat):
-                self._take(event, now, plan)
-            case HealthCheckFinished(origin, sound):
-                self.failed[origin] = 0 if sound else self.failed.get(origin, 0) + 1
-                if sound:
-                    self.heard[origin] = now
-            case Tick() if now - self.looked_at >= LOOK_EVERY:
-                self.looked_at = now
-                self._look(now, plan)
+            case Received(_, OriginHeartbeat() as heartbeat) if not self._is_stale(heartbeat):
+                self._record_heartbeat(heartbeat, now)
+            case HeartbeatReceived(heartbeat) as received if not self._is_stale(heartbeat):
+                self._accept_heartbeat(received, now, plan)
+            case HealthCheckFinished() as finished:
+                self._record_health_check(finished, now)
+            case Tick() if now - self.checked_at >= CHECK_INTERVAL_US:
+                self.checked_at = now
+                self._check_origins(now, plan)
         return plan
 
-    def _late(self, beat):
-        return 0 < self.numbers.get(beat.origin, 0) >= beat.number
-
-    def _hear(self, beat, now):
-        self.heard[beat.origin] = now
-        self.failed.pop(beat.origin, None)
-        if beat.number:
-            self.numbers[beat.origin] = beat.number
-
-    def _take(self, heard, now, plan):
-        beat = heard.beat
-        self._hear(beat, now)
-        plan.sends += [(address, beat) for address in self._others()]
-        origin = self.node_state.tables.origins.get(beat.origin)
-        wanted = OriginState.WARMING_UP if beat.cold else OriginState.WARM
-        if heard.told and origin is not None and origin.is_in_force and origin.state != wanted:
-            self._propose(
-                beat.origin, wanted, now, plan, reports_warm_up=True, **self._fences(beat)
-            )
-
-    def _others(self):
+    def _record(self, origin: str) -> OriginRecord:
+        record = self.records.get(origin)
+        if record is None:
+            record = self.records[origin] = OriginRecord()
+        return record
+
+    def _is_stale(self, heartbeat: OriginHeartbeat) -> bool:
+        record = self.records.get(heartbeat.origin)
+        last_number = 0 if record is None else record.heartbeat_number
+        return last_number > 0 and heartbeat.number <= last_number
+
+    def _record_heartbeat(self, heartbeat: OriginHeartbeat, now: int) -> None:
+        record = self._record(heartbeat.origin)
+        record.last_seen_at = now
+        record.failed_health_checks = 0
+        if heartbeat.number:
+            record.heartbeat_number = heartbeat.number
+
+    def _record_health_check(self, finished: HealthCheckFinished, now: int) -> None:
+        record = self._record(finished.origin)
+        if finished.is_healthy:
+            record.last_seen_at = now
+            record.failed_health_checks = 0
+        else:
+            record.failed_health_checks += 1
+
+    def _accept_heartbeat(self, received: HeartbeatReceived, now: int, plan: Plan) -> None:
+        """Record and pass on a heartbeat, and propose what it says of warming up."""
+        heartbeat = received.heartbeat
+        self._record_heartbeat(heartbeat, now)
+        for address in self._heartbeat_receivers():
+            plan.send(address, heartbeat)
+        origin = self.node_state.tables.origins.get(heartbeat.origin)
+        reported = OriginState.WARMING_UP if heartbeat.cold else OriginState.WARM
+        if not received.reports_warm_up or origin is None:
+            return
+        if origin.is_in_force and origin.state != reported:
+            change = self._reported_change(heartbeat, reported)
+            self._propose(change, ChangeReason.HEARTBEAT, now, plan)
+
+    def _heartbeat_receivers(self) -> list[str]:
         """Addresses that need every heartbeat: the other live registries, and the proxies."""
         return [
             daemon.address
@@ -127,86 +236,115 @@
             if name != self.node_state.descriptor.id
         ]
 
-    def _fences(self, beat):
-        """Return the fields by which the log refuses what an older heartbeat says.
+    def _reported_change(self, heartbeat: OriginHeartbeat, state: OriginState) -> ChangeOriginState:
+        """Return what a heartbeat says, fenced: the log rejects what an older one says.
 
         For a warm origin the slot tells which restoring of its zone this registry knew of.
         """
-        number = {"heartbeat_number": beat.number} if beat.number else {}
-        return number if beat.cold else {**number, "known_slot": self.node_state.tables.slot}
+        return ChangeOriginState(
+            state,
+            heartbeat.origin,
+            heartbeat_number=heartbeat.number or None,
+            known_slot=None if heartbeat.cold else self.node_state.tables.slot,
+            reports_warm_up=True,
+        )
 
-    def _look(self, now, plan):
+    def _check_origins(self, now: int, plan: Plan) -> None:
         tables = self.node_state.tables
         live = self.node_state.live_daemons("registry")
-        self._forget(tables.origins)
-        if not self._informed(live, now):
-            self.unaware_at = now
+        self._forget_unregistered(tables.origins)
+        if not self._is_informed(live, now):
+            self.uninformed_at = now
         services = tables.configuration.services
-        for origin, card in tables.origins.items():
-            since = self._state_since(origin, card.state, now)
-            if self.unaware_at != now and self._owned(origin, live):
-                self._care(origin, card, since, services.get(card.service, {}), now, plan)
-
-    def _forget(self, origins):
-        """Drop the state of origins that the tables no longer hold."""
-        for kept in (
-            self.heard,
-            self.seen,
-            self.failed,
-            self.probed_at,
-            self.asked_at,
-            self.numbers,
-        ):
-            for origin in [origin for origin in kept if origin not in origins]:
-                del kept[origin]
-
-    def _state_since(self, origin, state, now):
-        """Return when the origin was first seen here in its present state (µs)."""
-        known, since = self.seen.get(origin, (None, now))
-        if known == state:
-            return since
-        self.seen[origin] = (state, now)
-        return now
-
-    def _owned(self, origin, live):
-        return Rendezvous().rank(f"origin/{origin}", live)[0] == self.node_state.descriptor.id
-
-    def _informed(self, live, now):
+        for name, origin in tables.origins.items():
+            record = self._record(name)
+            record.observe_state(origin.state, now)
+            if self.uninformed_at != now and self._owns(name, live):
+                settings = HealthSettings.of_service(services.get(origin.service, {}))
+                self._check_origin(OriginCheck(name, origin, record, settings), now, plan)
+
+    def _forget_unregistered(self, registered: Mapping[str, OriginEntry]) -> None:
+        """Drop the records of origins that the tables do not have any more."""
+        for name in [name for name in self.records if name not in registered]:
+            del self.records[name]
+
+    def _owns(self, origin: str, live_registries: Iterable[str]) -> bool:
+        owner = Rendezvous().rank(f"origin/{origin}", live_registries)[0]
+        return owner == self.node_state.descriptor.id
+
+    def _is_informed(self, live_registries: Iterable[str], now: int) -> bool:
         """Whether the other registries pass heartbeats on to this one, as far as it knows."""
-        return self.node_state.is_in_touch(now) and self.node_state.descriptor.id in live
-
-    def _care(self, origin, card, since, service, now, plan):
-        silent = int(service.get("silent_seconds", 6.0) * SECOND)
-        quiet = now - max(self.heard.setdefault(origin, now), self.unaware_at)
-        if quiet > silent // 2 and now - self.probed_at.get(origin, -PROBE_EVERY) >= PROBE_EVERY:
-            self.probed_at[origin] = now
-            self.probe(origin, card.address, service.get("health_check_path"))
-        if quiet > silent or (quiet > silent // 2 and self.failed.get(origin, 0) >= PROBES_FAILED):
-            self._turn(
-                origin,
-                OriginState.GONE,
-                now,
-                plan,
-                timed_out=True,
-                registry=self.node_state.descriptor.id,
+        is_live = self.node_state.descriptor.id in live_registries
+        return self.node_state.is_in_touch(now) and is_live
+
+    def _check_origin(self, check: OriginCheck, now: int, plan: Plan) -> None:
+        if self._has_timed_out(check, now):
+            registry = self.node_state.descriptor.id
+            change = ChangeOriginState(
+                OriginState.GONE, check.name, timed_out=True, registry=registry
             )
-        elif card.state is OriginState.WAITING and now - since > ENTER_AFTER:
-            self._turn(origin, OriginState.WARMING_UP, now, plan)
+            self._propose_periodically(check.record, change, ChangeReason.TIMED_OUT, now, plan)
+        else:
+            self._check_warm_up(check, now, plan)
+
+    def _has_timed_out(self, check: OriginCheck, now: int) -> bool:
+        """Whether an origin counts as gone; after half of its time-out its health is checked."""
+        record, timeout = check.record, check.settings.heartbeat_timeout_us
+        if record.last_seen_at is None:
+            record.last_seen_at = now
+        elapsed = now - max(record.last_seen_at, self.uninformed_at)
+        if elapsed <= timeout // 2:
+            return False
+        if _is_due(record.health_checked_at, HEALTH_CHECK_INTERVAL_US, now):
+            record.health_checked_at = now
+            path = check.settings.health_check_path
+            self.start_health_check(check.name, check.entry.address, path)
+        is_unhealthy = record.failed_health_checks >= MAX_FAILED_HEALTH_CHECKS
+        return elapsed > timeout or is_unhealthy
+
+    def _check_warm_up(self, check: OriginCheck, now: int, plan: Plan) -> None:
+        """Propose the next state of an origin that waits, or that does not report its warm-up."""
+        entry, record = check.entry, check.record
+        time_in_state = now - record.state_since
+        if entry.state is OriginState.WAITING and time_in_state > ENTER_DELAY_US:
+            change = ChangeOriginState(OriginState.WARMING_UP, check.name)
+            self._propose_periodically(record, change, ChangeReason.ADDRESS_FREE, now, plan)
         elif (
-            card.state is OriginState.WARMING_UP
-            and not card.reports_warm_up
-            and now - since > int(service.get("ramp_seconds", 10.0) * SECOND)
+            entry.state is OriginState.WARMING_UP
+            and not entry.reports_warm_up
+            and time_in_state > check.settings.slow_start_us
         ):
-            self._turn(origin, OriginState.WARM, now, plan, known_slot=self.node_state.tables.slot)
+            slot = self.node_state.tables.slot
+            change = ChangeOriginState(OriginState.WARM, check.name, known_slot=slot)
+            self._propose_periodically(record, change, ChangeReason.SLOW_START_OVER, now, plan)
+
+    def _propose_periodically(
+        self,
+        record: OriginRecord,
+        change: ChangeOriginState,
+        reason: ChangeReason,
+        now: int,
+        plan: Plan,
+    ) -> None:
+        """Propose a change that a check found, at most each PROPOSAL_INTERVAL_US."""
+        if _is_due(record.proposed_at, PROPOSAL_INTERVAL_US, now):
+            record.proposed_at = now
+            self._propose(change, reason, now, plan)
+
+    def _propose(
+        self, change: ChangeOriginState, reason: ChangeReason, now: int, plan: Plan
+    ) -> None:
+        submission = SubmitOperations(None, (change,), PROPOSAL_LIFETIME_US)
+        plan.join(self.command_client.step(submission, now))
+        plan.log(
+            "origin_health",
+            "origin state change proposed",
+            origin=change.origin,
+            state=change.state,
+            reason=reason.value,
+        )
 
-    def _turn(self, origin, state, now, plan, **more):
-        if now - self.asked_at.get(origin, -ASK_EVERY) >= ASK_EVERY:
-            self.asked_at[origin] = now
-            self._propose(origin, state, now, plan, **more)
 
-    def _propose(self, origin, state, now, plan, **more):
-        operation = ChangeOriginState(state, origin, **more)
-        plan.join(
-            self.command_client.step(SubmitOperations(None, (operation,), PROPOSAL_LIFETIME), now)
-        )
-        plan.log("origins", "proposes a turn", origin=origin, state=state)
+def _is_due(last_at: int | None, interval: int, now: int) -> bool:
+    """Whether what was last done at `last_at` (None: never) may be done again; µs."""
+    return last_at is None or now - last_at >= interval
--- a/src/willowpost/registry/removal.py
+++ b/src/willowpost/registry/removal.py
@@ -1,6 +1,8 @@
 """Whether a machine of the core may be removed, for the status page and for automation."""
 
-from dataclasses import asdict, dataclass
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import Any
 
 from willowpost.state.apply.voters import is_change_complete
 from willowpost.state.lifecycle import DaemonState
@@ -11,30 +13,30 @@
 class RemovalVerdict:
     """Whether a removal is safe, and the reasons against it; safe only without any."""
 
-    safe: bool
+    is_safe: bool
     reasons: tuple[str, ...] = ()
 
-    def as_json(self) -> dict:
+    def as_json(self) -> dict[str, Any]:
         """Return the verdict as the status page shows it."""
-        return asdict(self)
+        return {"safe": self.is_safe, "reasons": self.reasons}
 
 
-def safe_to_remove(tables: Tables, fresh: bool) -> RemovalVerdict:
+def safe_to_remove(tables: Tables, is_fresh: bool) -> RemovalVerdict:
     """Return whether any one voter may be removed for good.
 
     It may if everything accepted is then still on n - f other voters. The tables do not show a
-    voter that is up but behind; the leaving store itself waits for those.
+    voter that is up but behind; the store that shuts down waits for those itself.
 
     Args:
-        tables: as this daemon holds them.
-        fresh: whether everything accepted up to a lease ago is in these tables.
+        tables: as far as this daemon has followed the log.
+        is_fresh: whether everything accepted up to a lease ago is in these tables.
     """
-    reasons = tuple(_reasons(tables, fresh))
+    reasons = tuple(_reasons_against(tables, is_fresh))
     return RemovalVerdict(not reasons, reasons)
 
 
-def _reasons(tables, fresh):
-    if not fresh:
+def _reasons_against(tables: Tables, is_fresh: bool) -> Iterator[str]:
+    if not is_fresh:
         yield "this registry is out of touch with the core"
     if not tables.voters:
         yield "the fleet is not founded"
--- a/tests/registry/test_configuration_order_histories.py
+++ b/tests/registry/test_configuration_order_histories.py
@@ -6,7 +6,7 @@
 
 import json
 import unittest
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from types import SimpleNamespace
 
 from hypothesis import settings
@@ -15,8 +15,9 @@
 
 from tests.support.operation_log import Log
 from willowpost.configuration.checker import ConfigurationChecker
-from willowpost.registry.calls.configurations import ConfigurationCalls
-from willowpost.registry.calls.control_api import ControlApi, unknown
+from willowpost.registry.api.configurations import ConfigurationRoutes
+from willowpost.registry.api.log_client import LogClient
+from willowpost.registry.api.responses import outcome_unknown
 from willowpost.shell.web import Call
 from willowpost.state.results import Reason, Rejected
 from willowpost.state.tables import tables_from
@@ -32,42 +33,40 @@
 ]
 
 
-class LaggingRegistry(ControlApi):
+class LaggingRegistry(LogClient):
     """A registry whose tables are those of an earlier slot until it reads."""
 
     def __init__(self, log, late):
         self.log, self.tables, self.fate, self.late = log, log.tables, "answered", late
         self.handlers = {
             (method, path): handler
-            for method, path, _, handler in ConfigurationCalls(self).routes()
+            for method, path, _, handler in ConfigurationRoutes(self).routes()
         }
 
     @property
     def node_state(self):
         return SimpleNamespace(tables=self.tables)
 
-    def deadline(self, call=None):
+    def deadline_for(self, call):
         return 0
 
-    def read(self, deadline=None):
+    def quorum_read(self, deadline=None):
         self.tables = self.log.tables
         return True
 
-    def accepted(self, operation, answered, deadline=None, refused=None, fence=None, **how):
+    def submit(self, build, deadline, on_accepted, on_rejected):
         while True:
-            fields = fence(self.tables) if fence else {}
-            fenced = replace(operation, **fields)
+            operation = build(self.tables)
             if self.fate == "late":
-                held = self.tables.configuration.version
-                self.late.append((fenced, held))
-                return unknown()
-            result, slot = self.log.put(fenced), self.log.tables.slot - 1
+                self.late.append((operation, self.tables.configuration.version))
+                return outcome_unknown()
+            result, slot = self.log.put(operation), self.log.tables.slot - 1
             if not isinstance(result, Rejected) or result.reason != Reason.SUPERSEDED:
                 break
-            self.read()
+            self.quorum_read()
         if self.fate == "lost":
-            return unknown()
-        return answered(result, slot) if result.is_accepted else refused(result)
+            return outcome_unknown()
+        return on_accepted(result, slot) if result.is_accepted else on_rejected(result)
 
 
 @dataclass(frozen=True)
--- a/tests/registry/test_origin_lifecycle.py
+++ b/tests/registry/test_origin_lifecycle.py
@@ -262,7 +262,7 @@
             ),
         )
         self.probed, self.now, self.is_in_touch = [], 100 * SECOND, True
-        self.beats = OriginHealthMonitor(
+        self.monitor = OriginHealthMonitor(
             self.node_state,
             CommandClient("r0/registry", 1, self.node_state.store_addresses, lambda: 1),
             lambda *probe: self.probed.append((self.now, probe)),
@@ -282,15 +282,15 @@
         self.now += after
         if self.is_in_touch:
             self.node_state.confirm_as_of(self.now)
-        plan = self.beats.step(event, self.now)
-        plan.join(self.beats.command_client.step(Tick(), self.now + 10 * MILLI))
+        plan = self.monitor.step(event, self.now)
+        plan.join(self.monitor.command_client.step(Tick(), self.now + 10 * MILLI))
         ops = [
             decode_operation(stored)
             for _, message in plan.sends
             if isinstance(message, SubmitCommand)
             for stored in json.loads(message.command.body)
         ]
-        self.beats.command_client.pending.clear()
+        self.monitor.command_client.pending.clear()
         return [
             (address, message)
             for address, message in plan.sends
@@ -337,7 +337,7 @@
                 self.assertEqual(
                     ([], []), self.step(Received("r1", OriginHeartbeat("o", number=number)))
                 )
-            self.assertEqual(100 * SECOND, self.beats.heard["o"])
+            self.assertEqual(100 * SECOND, self.monitor.records["o"].last_seen_at)
             self.assertEqual(
                 2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", number=7)))[0])
             )
@@ -348,7 +348,7 @@
             self.assertEqual(
                 2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", 3)), SECOND)[0])
             )
-        self.assertEqual(self.now, self.beats.heard["o"])
+        self.assertEqual(self.now, self.monitor.records["o"].last_seen_at)
 
     def test_who_takes_a_beat_proposes_at_once_what_it_says_of_being_cold(self):
         self.assertEqual(
@@ -379,7 +379,8 @@
     def test_a_ramp_is_guessed_only_for_those_who_do_not_say(self):
         name = self.owned()
         for reported, states in ((True, []), (False, [("warm", 7)])):
-            self.beats.seen.clear()
+            for record in self.monitor.records.values():
+                record.state = None
             self.set_origin(name, state=OriginState.WARMING_UP, reports_warm_up=reported)
             self.step(HeartbeatReceived(OriginHeartbeat(name)))
             self.assertEqual(
