--- a/tests/registry/test_configuration_order_histories.py
+++ b/tests/registry/test_configuration_order_histories.py
@@ -91,7 +91,7 @@
     def __init__(self):
         super().__init__()
         self.log = Log()
-        self.late = []  # operations that wait behind a cut, each with the version its registry knew
+        self.late = []  # operations delayed by a partition, each with the version its registry knew
         self.registries = [LaggingRegistry(self.log, self.late) for _ in range(3)]
         self.contents = {}  # version -> what was in force under it
         self.acknowledged = []  # [order, version of its first answer]
@@ -105,27 +105,27 @@
         )
         answer = registry.handlers[order.method, order.path](call)
         if answer.code == 200:
-            self.confirmed(order, answer.value)
+            self.confirm(order, answer.value)
         return answer
 
-    def confirmed(self, order, told):
-        """One number, one content: what the sender may now believe is what stands there."""
-        held = self.log.tables.configuration
-        self.contents.setdefault(held.version, (held.tree, held.source))
-        tree_held, source = self.contents[told["version"]]
+    def confirm(self, order, response):
+        """One number, one content: what the sender may now believe is what is in force under it."""
+        active = self.log.tables.configuration
+        self.contents.setdefault(active.version, (active.tree, active.source))
+        active_tree, source = self.contents[response["version"]]
         if order.method == "PUT":
-            assert (tree_held, source) == (self.checked(order.value), None)
+            assert (active_tree, source) == (self.checked(order.value), None)
         if order.path.endswith("s") and order.value["version"] in self.contents:
             wanted = self.checked(order.value["configuration"]), order.value.get("source")
             assert self.contents[order.value["version"]] == wanted
-        self.acknowledged.append((order, told["version"]))
+        self.acknowledged.append((order, response["version"]))
 
     def checked(self, value):
         return ConfigurationChecker().check_value(value).unwrap()
 
     def headers(self, match, key):
-        held = self.log.tables.configuration.version
-        named = {"if-match": None if match is None else f'"{max(0, held - match)}"'}
+        version = self.log.tables.configuration.version
+        named = {"if-match": None if match is None else f'"{max(0, version - match)}"'}
         named["idempotency-key"] = key
         return tuple((name, value) for name, value in named.items() if value is not None)
 
@@ -182,7 +182,7 @@
     @precondition(lambda self: self.late)
     @rule()
     def arrive_late(self):
-        """Behind a cut an order waits; it undoes nothing that was accepted meanwhile."""
+        """An order is delayed by a partition; it undoes nothing that was accepted meanwhile."""
         operation, known = self.late.pop(0)
         newest = self.log.tables.configuration_changes.newest()
         result = self.log.put(operation)
@@ -197,22 +197,22 @@
 
     @rule(at=REGISTRIES)
     def read(self, at):
-        told = self.registries[at].handlers["GET", "/v1/configuration"](
+        answer = self.registries[at].handlers["GET", "/v1/configuration"](
             Call("GET", "/v1/configuration", "", {})
         )
-        if told.value["version"] in self.contents:
-            expected = self.contents[told.value["version"]]
-            assert (told.value["configuration"], told.value.get("source")) == expected
+        if answer.value["version"] in self.contents:
+            expected = self.contents[answer.value["version"]]
+            assert (answer.value["configuration"], answer.value.get("source")) == expected
 
     @invariant()
     def one_content_under_one_version_that_only_goes_up(self):
-        held = self.log.tables.configuration
-        assert held.version >= self.version
-        self.version = held.version
-        if held.tree is not None:
-            content = held.tree, held.source
+        active = self.log.tables.configuration
+        assert active.version >= self.version
+        self.version = active.version
+        if active.tree is not None:
+            content = active.tree, active.source
             assert self.contents.setdefault(self.version, content) == content
-            assert ConfigurationChecker().check_value(held.tree).is_ok()
+            assert ConfigurationChecker().check_value(active.tree).is_ok()
 
 
 class OrderHistories(Histories.TestCase):
--- a/tests/registry/test_origin_lifecycle.py
+++ b/tests/registry/test_origin_lifecycle.py
@@ -1,6 +1,6 @@
-"""Origins: a life registers once and ends once; late words change nothing.
+"""Origins: an incarnation registers once and ends once; late messages change nothing.
 
-Who is cold is known by beats.
+Which origins are warming up is known by their heartbeats.
 """
 
 import itertools
@@ -58,14 +58,14 @@
             )
         )
 
-    def turn(self, origin, state, **more):
+    def change_state(self, origin, state, **more):
         return self.log.put(ChangeOriginState(state, origin, **more))
 
     def state(self, name):
         origin = self.log.tables.origins.get(name)
         return None if origin is None else origin.state
 
-    def test_a_incarnation_registers_once_however_often_it_is_said(self):
+    def test_an_incarnation_registers_once_however_often_it_is_submitted(self):
         first = self.register("one", is_warming_up=False)
         self.assertEqual(
             OriginAccepted(first.origin, "warm"),
@@ -75,7 +75,7 @@
 
     def test_a_incarnation_that_left_does_not_come_back(self):
         for end in (
-            lambda name: self.turn(name, "gone"),
+            lambda name: self.change_state(name, "gone"),
             lambda name: self.log.put(EndOrigin("one")),
         ):
             self.setUp()
@@ -91,15 +91,15 @@
             self.assertEqual(("one",), self.log.tables.ended_tokens)
             self.assertTrue(self.register("two").is_accepted)
 
-    def test_a_incarnation_that_was_never_heard_of_can_end(self):
+    def test_an_unknown_incarnation_can_end(self):
         self.assertTrue(self.log.put(EndOrigin("one")).is_accepted)
         self.assertFalse(self.register("one").is_accepted)
 
-    def test_one_that_fell_silent_may_come_back_unless_it_was_leaving(self):
-        self.turn(self.register("one").origin, "gone", timed_out=True)
+    def test_one_that_timed_out_may_return_unless_it_was_draining(self):
+        self.change_state(self.register("one").origin, "gone", timed_out=True)
         name = self.register("one").origin
-        self.turn(name, "draining")
-        self.turn(name, "gone", timed_out=True)
+        self.change_state(name, "draining")
+        self.change_state(name, "gone", timed_out=True)
         self.assertFalse(self.register("one").is_accepted)
 
     def test_another_incarnation_at_its_address_ends_it_but_its_own_new_address_does_not(self):
@@ -126,16 +126,18 @@
             [self.register(f"t{number}").is_accepted for number in (4, 5, MAX_ENDED_TOKENS + 4)],
         )
 
-    def test_it_enters_cold_or_warm_as_it_says(self):
-        for cold, state, told in (
+    def test_it_starts_warming_up_or_warm_as_it_reports(self):
+        for is_warming_up, state, reports_warm_up in (
             (True, "cold", True),
             (False, "warm", True),
             (None, "cold", False),
         ):
             self.setUp()
-            name = self.register("one", **({} if cold is None else {"is_warming_up": cold})).origin
+            reported = {} if is_warming_up is None else {"is_warming_up": is_warming_up}
+            name = self.register("one", **reported).origin
             self.assertEqual(
-                (state, told), (self.state(name), self.log.tables.origins[name].reports_warm_up)
+                (state, reports_warm_up),
+                (self.state(name), self.log.tables.origins[name].reports_warm_up),
             )
 
     def test_draining_is_the_end_of_being_ready(self):
@@ -143,14 +145,14 @@
         self.assertEqual("draining", self.state(name))
         self.assertEqual("draining", self.register("one").state)
         for state in ("warm", "cold"):
-            self.assertFalse(self.turn(name, state).is_accepted)
+            self.assertFalse(self.change_state(name, state).is_accepted)
         self.assertEqual("draining", self.state(name))
         other = self.register("two", address="127.0.0.1:2").origin
         self.assertEqual(
             "draining", self.register("two", address="127.0.0.1:2", is_draining=True).state
         )
         self.assertEqual("draining", self.state(other))
-        self.assertTrue(self.turn(other, "draining").is_accepted)
+        self.assertTrue(self.change_state(other, "draining").is_accepted)
 
     def test_a_used_address_waits_unless_the_service_names_its_incarnations(self):
         self.register("one")
@@ -162,18 +164,18 @@
             "waiting", self.register("four", service="plain", is_warming_up=False).state
         )
 
-    def test_a_turn_of_an_earlier_beat_gives_route(self):
+    def test_a_state_change_of_an_earlier_heartbeat_is_rejected(self):
         name = self.register("one", is_warming_up=False, heartbeat_number=3).origin
-        self.turn(name, "cold", heartbeat_number=3)
+        self.change_state(name, "cold", heartbeat_number=3)
         self.assertEqual("warm", self.state(name))
-        self.turn(name, "cold", heartbeat_number=5)
-        self.turn(name, "warm", heartbeat_number=4)
+        self.change_state(name, "cold", heartbeat_number=5)
+        self.change_state(name, "warm", heartbeat_number=4)
         self.assertEqual("cold", self.state(name))
-        self.turn(name, "warm", heartbeat_number=6)
+        self.change_state(name, "warm", heartbeat_number=6)
         self.assertEqual("warm", self.state(name))
 
-    def test_a_zone_that_is_given_back_is_cold_until_a_later_beat(self):
-        held = {
+    def test_origins_of_a_restored_zone_warm_up_until_a_later_heartbeat(self):
+        origins = {
             service + zone: self.register(
                 service + zone, f"127.0.0.1:{port}", service, zone, is_warming_up=False
             ).origin
@@ -187,23 +189,27 @@
         self.log.put(EvacuateZone("a", is_evacuated=False))
         self.assertEqual(
             {"carefula": "cold", "carefulb": "warm", "plaina": "warm"},
-            {name: self.state(origin) for name, origin in held.items()},
+            {name: self.state(origin) for name, origin in origins.items()},
         )
         self.assertEqual("draining", self.state(leaving))
-        self.assertFalse(self.turn(held["carefula"], "warm", known_slot=before).is_accepted)
-        self.assertEqual("cold", self.state(held["carefula"]))
-        self.assertTrue(self.turn(held["carefula"], "warm", known_slot=before + 1).is_accepted)
-        self.log.put(EvacuateZone("a", is_evacuated=False))  # said again
-        self.assertEqual("warm", self.state(held["carefula"]))
+        self.assertFalse(
+            self.change_state(origins["carefula"], "warm", known_slot=before).is_accepted
+        )
+        self.assertEqual("cold", self.state(origins["carefula"]))
+        self.assertTrue(
+            self.change_state(origins["carefula"], "warm", known_slot=before + 1).is_accepted
+        )
+        self.log.put(EvacuateZone("a", is_evacuated=False))  # repeated
+        self.assertEqual("warm", self.state(origins["carefula"]))
 
-    def test_one_that_was_cold_already_is_cold_anew_when_its_zone_is_given_back(self):
+    def test_one_that_was_warming_up_warms_up_again_when_its_zone_is_restored(self):
         name = self.register("one", service="careful", is_warming_up=True).origin
         before = self.log.tables.slot
         self.log.put(EvacuateZone("a", is_evacuated=True, scope="origins"))
         self.log.put(EvacuateZone("a", is_evacuated=False))
-        self.assertFalse(self.turn(name, "warm", known_slot=before).is_accepted)
+        self.assertFalse(self.change_state(name, "warm", known_slot=before).is_accepted)
 
-    def test_giving_back_what_was_not_emptied_of_origins_alone_turns_nothing_cold(self):
+    def test_restoring_a_zone_not_evacuated_of_origins_alone_warms_up_nothing_again(self):
         name = self.register("one", service="careful", is_warming_up=False).origin
         for empty, scope in (
             (False, {}),
@@ -238,7 +244,7 @@
 
 
 class OriginMonitoring(unittest.TestCase):
-    """One registry's part, with others and a proxy beside it."""
+    """One registry, with others and a proxy beside it."""
 
     def setUp(self):
         def entry(kind, name):
@@ -261,11 +267,11 @@
                 configuration=ActiveConfiguration(1, {"services": {"careful": service}}),
             ),
         )
-        self.probed, self.now, self.is_in_touch = [], 100 * SECOND, True
+        self.health_checks, self.now, self.is_in_touch = [], 100 * SECOND, True
         self.monitor = OriginHealthMonitor(
             self.node_state,
             CommandClient("r0/registry", 1, self.node_state.store_addresses, lambda: 1),
-            lambda *probe: self.probed.append((self.now, probe)),
+            lambda *check: self.health_checks.append((self.now, check)),
         )
 
     def set_origin(self, name="o", **attributes):
@@ -284,7 +290,7 @@
             self.node_state.confirm_as_of(self.now)
         plan = self.monitor.step(event, self.now)
         plan.join(self.monitor.command_client.step(Tick(), self.now + 10 * MILLI))
-        ops = [
+        operations = [
             decode_operation(stored)
             for _, message in plan.sends
             if isinstance(message, SubmitCommand)
@@ -295,13 +301,13 @@
             (address, message)
             for address, message in plan.sends
             if not isinstance(message, SubmitCommand)
-        ], ops
+        ], operations
 
     def pass_time(self, span, step=100 * MILLI):
-        return [op for _ in range(0, span, step) for op in self.step(Tick(), step)[1]]
+        return [operation for _ in range(0, span, step) for operation in self.step(Tick(), step)[1]]
 
-    def owned(self, own=True):
-        """Whether this registry has the duty: by the origin's name."""
+    def choose_origin(self, is_owned=True):
+        """Give the origin a name by which this registry owns it, or does not."""
         name = next(
             name
             for name in map(str, range(99))
@@ -309,17 +315,17 @@
                 Rendezvous().rank(f"origin/{name}", ["r0/registry", "r1/registry"])[0]
                 == "r0/registry"
             )
-            == own
+            == is_owned
         )
         self.set_origin(name)
         return name
 
-    def test_a_beat_goes_to_every_other_registry_and_proxy_at_once_whole(self):
-        beat = OriginHeartbeat("o", 4, 1500, 32, 6)
-        sent, ops = self.step(HeartbeatReceived(beat))
-        self.assertEqual(([("r1", beat), ("p0", beat)], []), (sent, ops))
+    def test_a_heartbeat_is_passed_on_complete_to_every_other_registry_and_proxy_at_once(self):
+        heartbeat = OriginHeartbeat("o", 4, 1500, 32, 6)
+        sent, operations = self.step(HeartbeatReceived(heartbeat))
+        self.assertEqual(([("r1", heartbeat), ("p0", heartbeat)], []), (sent, operations))
 
-    def test_a_late_beat_changes_nothing_whoever_heard_the_later_one(self):
+    def test_a_stale_heartbeat_changes_nothing_whoever_received_the_newer_one(self):
         for later in (
             HeartbeatReceived(OriginHeartbeat("o", number=6), True),
             Received("r1", OriginHeartbeat("o", number=6)),
@@ -342,7 +348,7 @@
                 2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", number=7)))[0])
             )
 
-    def test_beats_without_numbers_all_count(self):
+    def test_heartbeats_without_numbers_all_count(self):
         for _ in range(3):
             self.assertEqual(2, len(self.step(HeartbeatReceived(OriginHeartbeat("o")), SECOND)[0]))
             self.assertEqual(
@@ -350,7 +356,7 @@
             )
         self.assertEqual(self.now, self.monitor.records["o"].last_seen_at)
 
-    def test_who_takes_a_beat_proposes_at_once_what_it_says_of_being_cold(self):
+    def test_the_receiver_of_a_heartbeat_proposes_at_once_what_it_reports_of_warming_up(self):
         self.assertEqual(
             [ChangeOriginState("cold", "o", reports_warm_up=True, heartbeat_number=6)],
             self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=6), True))[1],
@@ -376,8 +382,8 @@
                 self.step(HeartbeatReceived(OriginHeartbeat("o", number=99 + len(state)), True))[1],
             )
 
-    def test_a_ramp_is_guessed_only_for_those_who_do_not_say(self):
-        name = self.owned()
+    def test_the_slow_start_is_estimated_only_for_those_who_do_not_report_it(self):
+        name = self.choose_origin()
         for reported, states in ((True, []), (False, [("warm", 7)])):
             for record in self.monitor.records.values():
                 record.state = None
@@ -385,20 +391,23 @@
             self.step(HeartbeatReceived(OriginHeartbeat(name)))
             self.assertEqual(
                 states,
-                [(op.state, op.known_slot) for op in self.pass_time(int(2.5 * SECOND))][:1],
+                [
+                    (operation.state, operation.known_slot)
+                    for operation in self.pass_time(int(2.5 * SECOND))
+                ][:1],
             )
             self.step(HeartbeatReceived(OriginHeartbeat(name)))
 
-    def test_a_silent_one_is_probed_once_a_second_by_whose_duty_it_is_then_gone(self):
-        self.owned(own=False)
-        self.assertEqual(([], []), (self.pass_time(9 * SECOND), self.probed))
+    def test_one_that_timed_out_is_health_checked_each_second_by_its_owner_then_gone(self):
+        self.choose_origin(is_owned=False)
+        self.assertEqual(([], []), (self.pass_time(9 * SECOND), self.health_checks))
         self.setUp()
-        name = self.owned()
+        name = self.choose_origin()
         self.step(HeartbeatReceived(OriginHeartbeat(name)))
-        ops = self.pass_time(int(4.5 * SECOND))
+        operations = self.pass_time(int(4.5 * SECOND))
         gone = ChangeOriginState("gone", name, timed_out=True, registry="r0/registry")
-        self.assertEqual([gone], ops[:1])
-        moments = [moment for moment, _ in self.probed]
+        self.assertEqual([gone], operations[:1])
+        moments = [moment for moment, _ in self.health_checks]
         self.assertEqual(3, len(moments))
         self.assertGreaterEqual(
             min(later - earlier for earlier, later in itertools.pairwise(moments)), SECOND
@@ -420,7 +429,9 @@
             },
         )
 
-    def beat(self, number, token="incarnation-one", first=0, address="127.0.0.1:99", **more):
+    def send_heartbeat(
+        self, number, token="incarnation-one", first=0, address="127.0.0.1:99", **more
+    ):
         return self.call(
             "POST",
             "/v1/origins/beat",
@@ -445,25 +456,28 @@
             origin.state for origin in self.tables(first).origins.values() if origin.token == token
         ]
 
-    def test_a_incarnation_from_its_first_beat_to_its_end_through_two_registries(self):
+    def test_an_incarnation_from_its_first_heartbeat_to_its_end_through_two_registries(self):
         self.assertEqual(
             (200, "warm"),
-            ((answer := self.beat(1, cold_ms=0, slots=32)).code, answer.value["state"]),
+            ((answer := self.send_heartbeat(1, cold_ms=0, slots=32)).code, answer.value["state"]),
         )
         self.assertEqual(
             (200, "warm"),
-            ((answer := self.beat(1, first=1, cold_ms=0)).code, answer.value["state"]),
+            ((answer := self.send_heartbeat(1, first=1, cold_ms=0)).code, answer.value["state"]),
         )
         self.assertEqual(["warm"], self.states())
         self.assertEqual(
             (200, "draining"),
-            ((answer := self.beat(3, state="draining")).code, answer.value["state"]),
+            ((answer := self.send_heartbeat(3, state="draining")).code, answer.value["state"]),
         )
         self.assertEqual(["draining"], self.states())
         for number, first in ((2, 1), (3, 0), (4, 1)):
             self.assertEqual(
                 (200, "draining"),
-                ((answer := self.beat(number, first=first, cold_ms=0)).code, answer.value["state"]),
+                (
+                    (answer := self.send_heartbeat(number, first=first, cold_ms=0)).code,
+                    answer.value["state"],
+                ),
             )
         for first in (0, 1, 0):
             self.assertEqual(
@@ -489,7 +503,7 @@
                 self.assertEqual(
                     (200, "gone"),
                     (
-                        (answer := self.beat(9, first=first, state=state)).code,
+                        (answer := self.send_heartbeat(9, first=first, state=state)).code,
                         answer.value["state"],
                     ),
                 )
@@ -512,8 +526,8 @@
             ).code,
         )
 
-    def test_who_says_its_slots_and_no_rate_is_bound_by_its_services_rate_alone(self):
-        for number, said, rate in (
+    def test_one_with_slots_and_no_rate_is_limited_by_its_services_rate_alone(self):
+        for number, reported, rate in (
             (1, {}, 100.0),
             (2, {"slots": 32}, 1e6),
             (3, {"slots": 32, "rate": 50}, 50.0),
@@ -527,7 +541,7 @@
                     "zone": "x",
                     "token": f"incarnation-{number}",
                     "cold_ms": 0,
-                    **said,
+                    **reported,
                 },
                 0,
             )
@@ -540,18 +554,18 @@
                 ],
             )
 
-    def test_a_registry_that_has_not_heard_the_end_yet_does_not_undo_it(self):
-        """The beat and the end go through two registries at the same moment.
+    def test_a_registry_that_has_not_applied_the_end_yet_does_not_undo_it(self):
+        """The heartbeat and the end go through two registries at the same moment.
 
         The tables of neither know of the other.
         """
-        self.beat(1, cold_ms=0)
+        self.send_heartbeat(1, cold_ms=0)
         self.states()
         self.call("POST", "/v1/origins/leave", {"token": "incarnation-one"})
-        self.beat(2, first=1, cold_ms=0)
+        self.send_heartbeat(2, first=1, cold_ms=0)
         self.assertEqual([], self.states())
 
-    def test_a_beat_after_the_end_is_answered_by_the_log_where_the_end_is_not_known_yet_and_without_it_where_it_is(
+    def test_a_heartbeat_after_the_end_is_answered_by_the_log_only_where_the_end_is_not_known_yet(
         self,
     ):
         self.call("POST", "/v1/origins/leave", {"token": "incarnation-one"})
@@ -559,14 +573,17 @@
             "incarnation-one", self.world.seats["r1"].node.registry.tables.ended_tokens
         )
         self.assertEqual(
-            (200, "gone"), ((answer := self.beat(2, first=1)).code, answer.value["state"])
+            (200, "gone"), ((answer := self.send_heartbeat(2, first=1)).code, answer.value["state"])
         )
         self.assertIn("incarnation-one", self.tables().ended_tokens)
         for name in ("s0", "s1", "s2"):
             self.world.crash(name)
         self.assertEqual(
             (200, "gone"),
-            ((answer := self.beat(3, first=1, state="draining")).code, answer.value["state"]),
+            (
+                (answer := self.send_heartbeat(3, first=1, state="draining")).code,
+                answer.value["state"],
+            ),
         )
 
     def test_an_unknown_incarnation_may_register_as_draining_and_an_unknown_one_cannot_drain(self):
@@ -575,7 +592,7 @@
         )
         self.assertEqual(
             (200, "draining"),
-            ((answer := self.beat(1, state="draining")).code, answer.value["state"]),
+            ((answer := self.send_heartbeat(1, state="draining")).code, answer.value["state"]),
         )
         self.assertEqual(["draining"], self.states())
         for wrong in (
@@ -587,40 +604,44 @@
             self.assertEqual(422, self.call("POST", "/v1/origins/drain", wrong).code)
 
     def test_draining_is_answered_only_once_accepted(self):
-        self.beat(1, cold_ms=0)
+        self.send_heartbeat(1, cold_ms=0)
         self.states()
         for name in ("s0", "s1", "s2"):
             self.world.crash(name)
-        self.assertEqual(504, self.beat(2, state="draining").code)
+        self.assertEqual(504, self.send_heartbeat(2, state="draining").code)
         self.world.run(seconds(1))  # by then both registries know that they are out of touch
         leave = self.call("POST", "/v1/origins/leave", {"token": "incarnation-one"})
-        for answer in (self.beat(2, state="draining", first=1), self.beat(3, cold_ms=0), leave):
+        for answer in (
+            self.send_heartbeat(2, state="draining", first=1),
+            self.send_heartbeat(3, cold_ms=0),
+            leave,
+        ):
             self.assertEqual((503, "not-run"), (answer.code, answer.value["outcome"]))
 
-    def test_an_origin_turns_cold_and_warm_by_its_beats_and_by_nothing_else(self):
-        self.beat(1, cold_ms=4000)
+    def test_an_origin_warms_up_and_is_warm_by_its_heartbeats_alone(self):
+        self.send_heartbeat(1, cold_ms=4000)
         self.assertEqual(["cold"], self.states())
         for number in range(2, 14):  # longer than the ramp
-            self.beat(number, first=number % 2, cold_ms=4000)
+            self.send_heartbeat(number, first=number % 2, cold_ms=4000)
             self.world.run(seconds(1))
         self.assertEqual(["cold"], self.states())
-        self.beat(20, cold_ms=0)
+        self.send_heartbeat(20, cold_ms=0)
         self.assertEqual(["warm"], self.states())
-        self.beat(21, first=1, cold_ms=900)
+        self.send_heartbeat(21, first=1, cold_ms=900)
         self.assertEqual(["cold"], self.states(first=0))
-        self.beat(20, cold_ms=0)
+        self.send_heartbeat(20, cold_ms=0)
         self.assertEqual(["cold"], self.states())
 
-    def test_a_zone_given_back_is_cold_until_its_origins_beat_again(self):
-        self.beat(1, cold_ms=0)
+    def test_a_restored_zone_warms_up_until_its_origins_send_heartbeats_again(self):
+        self.send_heartbeat(1, cold_ms=0)
         self.assertEqual(200, self.call("POST", "/v1/zones/x/empty", {"what": "origins"}).code)
         self.assertEqual(["warm"], self.states())
         self.assertEqual(200, self.call("POST", "/v1/zones/x/restore").code)
         self.assertEqual(["cold"], self.states())
-        self.beat(2, cold_ms=0)
+        self.send_heartbeat(2, cold_ms=0)
         self.assertEqual(["warm"], self.states())
 
-    def test_findings_have_their_place(self):
+    def test_issues_have_their_location(self):
         for more, place in (
             ({"number": -1}, "number"),
             ({"number": "x"}, "number"),
@@ -631,7 +652,7 @@
             ({"address": "here"}, "address"),
             ({"x": 1}, "x"),
         ):
-            answer = self.beat(**{"number": 1, **more})
+            answer = self.send_heartbeat(**{"number": 1, **more})
             self.assertEqual(
                 (422, place), (answer.code, answer.value["findings"][0]["place"]), more
             )
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -1,4 +1,4 @@
-"""Every outside call against a simulated fleet, through the registry's own front."""
+"""Every outside call against a simulated fleet, through the registry's own routes."""
 
 import json
 import unittest
@@ -55,7 +55,7 @@
         ):
             self.assertEqual(422, self.call("PATCH", "/v1/configuration", wrong).code, wrong)
 
-    def test_origins_register_beat_drain_and_leave(self):
+    def test_origins_register_send_heartbeats_drain_and_leave(self):
         origin = {"service": "art", "address": "127.0.0.1:99", "zone": "a", "rate": 9}
 
         def code(path, value):
@@ -114,10 +114,10 @@
             ).code,
         )
         self.world.run(seconds(1))
-        held = self.world.seats["r1"].node.registry.tables.purges
+        purges = self.world.seats["r1"].node.registry.tables.purges
         self.assertEqual(
             [("tag", "t03a9f1"), ("tag", "x" * 256)],
-            [(purge.kind, purge.path) for purge in held],
+            [(purge.kind, purge.path) for purge in purges],
         )
         for wrong in (
             {"kind": "tag"},
@@ -129,8 +129,8 @@
         ):
             self.assertEqual(422, self.call("POST", "/v1/purges", {"items": [wrong]}).code, wrong)
 
-    def test_a_zone_is_emptied_of_its_origins_alone_or_whole(self):
-        def held():
+    def test_a_zone_is_evacuated_of_its_origins_alone_or_entirely(self):
+        def evacuation():
             return self.world.seats["r0"].node.registry.tables.zone_evacuations["b"]
 
         for body, what in ((b"", "all"), ({"what": "origins"}, "origins"), ({}, "all")):
@@ -141,17 +141,17 @@
                     answer.value["what"],
                 ),
             )
-            self.assertEqual((True, what), (held().is_evacuated, held().scope))
+            self.assertEqual((True, what), (evacuation().is_evacuated, evacuation().scope))
         self.assertEqual(422, self.call("POST", "/v1/zones/b/empty", {"what": "nothing"}).code)
         self.assertEqual(200, self.call("POST", "/v1/zones/b/restore").code)
-        self.assertFalse(held().is_evacuated)
+        self.assertFalse(evacuation().is_evacuated)
 
     def test_without_a_quorum_the_outcome_is_called_unknown_and_nothing_is_read(self):
         self.call("PUT", "/v1/configuration", self.world.configuration)
         for name in ("s0", "s1", "s2"):
             self.world.crash(name)
-        held = self.call("PUT", "/v1/configuration", self.world.configuration)
-        self.assertEqual((504, "unknown"), (held.code, held.value["outcome"]))
+        answer = self.call("PUT", "/v1/configuration", self.world.configuration)
+        self.assertEqual((504, "unknown"), (answer.code, answer.value["outcome"]))
         self.assertEqual(503, self.call("GET", "/v1/configuration").code)
         self.world.run(seconds(1))  # the calls are answered sooner now than the lease ends
         self.assertEqual(503, self.call("GET", "/v1/health").code)
@@ -186,15 +186,15 @@
         }
         second.setdefault("settings", {})["kind"] = "once"
         self.call("PUT", "/v1/configuration", tree)
-        held = self.call("GET", "/v1/status").value["configuration"]
+        counts = self.call("GET", "/v1/status").value["configuration"]
         self.assertEqual(
             (1, len(tree["branches"]), 1, 1, 1),
             (
-                held["version"],
-                held["routes"],
-                held["kinds"]["kept"],
-                held["kinds"]["once"],
-                held["splits"],
+                counts["version"],
+                counts["routes"],
+                counts["kinds"]["kept"],
+                counts["kinds"]["once"],
+                counts["splits"],
             ),
         )
 
