--- a/src/willowpost/registry/api/configurations.py
+++ b/src/willowpost/registry/api/configurations.py
@@ -106,9 +106,9 @@
         required = Preconditions.read(call.headers)
         if required.is_err():
             return required.unwrap_err()
-        checked = self.checker.check(call.body).map_err(issues_from_json)
+        checked = self.checker.check(call.body)
         if checked.is_err():
-            return invalid_body(checked.unwrap_err())
+            return invalid_body(issues_from_json(checked.unwrap_err()))
         tree = checked.unwrap()
         proposal = ConfigurationProposal(
             content=content_digest(tree, None),
@@ -151,16 +151,17 @@
         return self._propose(proposal, deadline)
 
     def _read_numbered(self, body: bytes) -> Result[ConfigurationProposal, list[ValidationIssue]]:
-        read = self.checker.read(body).map_err(issues_from_json)
+        read = self.checker.read(body)
         if read.is_err():
-            return Err(read.unwrap_err())
+            return Err(issues_from_json(read.unwrap_err()))
         try:
             numbered = NumberedConfiguration.model_validate(read.unwrap())
         except ValidationError as error:
             return Err(issues_from_json(findings_of(error)))
-        checked = self.checker.check_value(numbered.configuration).map_err(issues_from_json)
+        checked = self.checker.check_value(numbered.configuration)
         if checked.is_err():
-            return Err([_inside_configuration(issue) for issue in checked.unwrap_err()])
+            issues = issues_from_json(checked.unwrap_err())
+            return Err([_inside_configuration(issue) for issue in issues])
         tree = checked.unwrap()
         return Ok(
             ConfigurationProposal(
@@ -172,9 +173,9 @@
         )
 
     def _plan(self, call: Call) -> Answer:
-        checked = self.checker.check(call.body).map_err(issues_from_json)
+        checked = self.checker.check(call.body)
         if checked.is_err():
-            return invalid_body(checked.unwrap_err())
+            return invalid_body(issues_from_json(checked.unwrap_err()))
         return self._show_plan(checked.unwrap())
 
     def _show_plan(self, tree: dict[str, Any]) -> Answer:
--- a/src/willowpost/registry/api/json_patch.py
+++ b/src/willowpost/registry/api/json_patch.py
@@ -51,7 +51,10 @@
             jsonpointer.JsonPointerException,
         ) as error:
             return Err([_patch_issue(error)])
-        return checker.check_value(patched).map_err(issues_from_json)
+        checked = checker.check_value(patched)
+        if checked.is_err():
+            return Err(issues_from_json(checked.unwrap_err()))
+        return Ok(checked.unwrap())
 
 
 def _patch_issue(error: Exception) -> ValidationIssue:
--- a/src/willowpost/registry/api/purges.py
+++ b/src/willowpost/registry/api/purges.py
@@ -11,7 +11,7 @@
 from willowpost.shell.web import Answer, Call
 from willowpost.state.operations import PurgeCache
 
-MAX_BODY_BYTES = 1024 * 1024
+MAX_PURGE_BODY_BYTES = 1024 * 1024
 MAX_ITEMS = 5000
 ITEMS_PER_BATCH = 300
 
@@ -59,7 +59,7 @@
 
     def routes(self) -> tuple[Route, ...]:
         """Return the routes of this group."""
-        return (Route("POST", "/v1/purges", MAX_BODY_BYTES, self._purge),)
+        return (Route("POST", "/v1/purges", MAX_PURGE_BODY_BYTES, self._purge),)
 
     def _purge(self, call: Call) -> Answer:
         """Purge items; one that takes effect late drops cached responses again, nothing else."""
--- a/src/willowpost/registry/api/route.py
+++ b/src/willowpost/registry/api/route.py
@@ -12,11 +12,11 @@
     Attributes:
         method: HTTP method.
         path: "*" in it matches any segment, which becomes a parameter of the call.
-        max_body_bytes: a larger body is rejected.
+        body_limit_bytes: a larger body is rejected.
         handler: makes the response to a call.
     """
 
     method: str
     path: str
-    max_body_bytes: int
+    body_limit_bytes: int
     handler: Callable[[Call], Answer]
