--- a/src/willowpost/registry/origin_health.py
+++ b/src/willowpost/registry/origin_health.py
@@ -26,7 +26,7 @@
 # Proposed anew as long as it holds: it must not be applied long after it ceased to hold.
 PROPOSAL_LIFETIME_US = 2 * SECOND
 HEALTH_CHECK_INTERVAL_US = 1 * SECOND
-MAX_FAILED_HEALTH_CHECKS = 2
+FAILED_CHECKS_UNTIL_UNHEALTHY = 2
 DEFAULT_HEARTBEAT_TIMEOUT_SECONDS = 6.0
 DEFAULT_SLOW_START_SECONDS = 10.0
 
@@ -299,7 +299,7 @@
             record.health_checked_at = now
             path = check.settings.health_check_path
             self.start_health_check(check.name, check.entry.address, path)
-        is_unhealthy = record.failed_health_checks >= MAX_FAILED_HEALTH_CHECKS
+        is_unhealthy = record.failed_health_checks >= FAILED_CHECKS_UNTIL_UNHEALTHY
         return elapsed > timeout or is_unhealthy
 
     def _check_warm_up(self, check: OriginCheck, now: int, plan: Plan) -> None:
