--- a/tests/registry/test_configuration_order_histories.py
+++ b/tests/registry/test_configuration_order_histories.py
@@ -6,7 +6,7 @@
 
 import json
 import unittest
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from types import SimpleNamespace
 
 from hypothesis import settings
@@ -15,8 +15,9 @@
 
 from tests.support.operation_log import Log
 from willowpost.configuration.checker import ConfigurationChecker
-from willowpost.registry.calls.configurations import ConfigurationCalls
-from willowpost.registry.calls.control_api import ControlApi, unknown
+from willowpost.registry.api.configurations import ConfigurationRoutes
+from willowpost.registry.api.log_client import LogClient
+from willowpost.registry.api.responses import outcome_unknown
 from willowpost.shell.web import Call
 from willowpost.state.results import Reason, Rejected
 from willowpost.state.tables import tables_from
@@ -32,42 +33,40 @@
 ]
 
 
-class LaggingRegistry(ControlApi):
+class LaggingRegistry(LogClient):
     """A registry whose tables are those of an earlier slot until it reads."""
 
     def __init__(self, log, late):
         self.log, self.tables, self.fate, self.late = log, log.tables, "answered", late
         self.handlers = {
             (method, path): handler
-            for method, path, _, handler in ConfigurationCalls(self).routes()
+            for method, path, _, handler in ConfigurationRoutes(self).routes()
         }
 
     @property
     def node_state(self):
         return SimpleNamespace(tables=self.tables)
 
-    def deadline(self, call=None):
+    def deadline_for(self, call):
         return 0
 
-    def read(self, deadline=None):
+    def quorum_read(self, deadline=None):
         self.tables = self.log.tables
         return True
 
-    def accepted(self, operation, answered, deadline=None, refused=None, fence=None, **how):
+    def submit(self, build, deadline, on_accepted, on_rejected):
         while True:
-            fields = fence(self.tables) if fence else {}
-            fenced = replace(operation, **fields)
+            operation = build(self.tables)
             if self.fate == "late":
-                held = self.tables.configuration.version
-                self.late.append((fenced, held))
-                return unknown()
-            result, slot = self.log.put(fenced), self.log.tables.slot - 1
+                self.late.append((operation, self.tables.configuration.version))
+                return outcome_unknown()
+            result, slot = self.log.put(operation), self.log.tables.slot - 1
             if not isinstance(result, Rejected) or result.reason != Reason.SUPERSEDED:
                 break
-            self.read()
+            self.quorum_read()
         if self.fate == "lost":
-            return unknown()
-        return answered(result, slot) if result.is_accepted else refused(result)
+            return outcome_unknown()
+        return on_accepted(result, slot) if result.is_accepted else on_rejected(result)
 
 
 @dataclass(frozen=True)
@@ -92,7 +91,7 @@
     def __init__(self):
         super().__init__()
         self.log = Log()
-        self.late = []  # operations that wait behind a cut, each with the version its registry knew
+        self.late = []  # operations delayed by a partition, each with the version its registry knew
         self.registries = [LaggingRegistry(self.log, self.late) for _ in range(3)]
         self.contents = {}  # version -> what was in force under it
         self.acknowledged = []  # [order, version of its first answer]
@@ -106,27 +105,27 @@
         )
         answer = registry.handlers[order.method, order.path](call)
         if answer.code == 200:
-            self.confirmed(order, answer.value)
+            self.confirm(order, answer.value)
         return answer
 
-    def confirmed(self, order, told):
-        """One number, one content: what the sender may now believe is what stands there."""
-        held = self.log.tables.configuration
-        self.contents.setdefault(held.version, (held.tree, held.source))
-        tree_held, source = self.contents[told["version"]]
+    def confirm(self, order, response):
+        """One number, one content: what the sender may now believe is what is in force under it."""
+        active = self.log.tables.configuration
+        self.contents.setdefault(active.version, (active.tree, active.source))
+        active_tree, source = self.contents[response["version"]]
         if order.method == "PUT":
-            assert (tree_held, source) == (self.checked(order.value), None)
+            assert (active_tree, source) == (self.checked(order.value), None)
         if order.path.endswith("s") and order.value["version"] in self.contents:
             wanted = self.checked(order.value["configuration"]), order.value.get("source")
             assert self.contents[order.value["version"]] == wanted
-        self.acknowledged.append((order, told["version"]))
+        self.acknowledged.append((order, response["version"]))
 
     def checked(self, value):
         return ConfigurationChecker().check_value(value).unwrap()
 
     def headers(self, match, key):
-        held = self.log.tables.configuration.version
-        named = {"if-match": None if match is None else f'"{max(0, held - match)}"'}
+        version = self.log.tables.configuration.version
+        named = {"if-match": None if match is None else f'"{max(0, version - match)}"'}
         named["idempotency-key"] = key
         return tuple((name, value) for name, value in named.items() if value is not None)
 
@@ -183,7 +182,7 @@
     @precondition(lambda self: self.late)
     @rule()
     def arrive_late(self):
-        """Behind a cut an order waits; it undoes nothing that was accepted meanwhile."""
+        """An order is delayed by a partition; it undoes nothing that was accepted meanwhile."""
         operation, known = self.late.pop(0)
         newest = self.log.tables.configuration_changes.newest()
         result = self.log.put(operation)
@@ -198,22 +197,22 @@
 
     @rule(at=REGISTRIES)
     def read(self, at):
-        told = self.registries[at].handlers["GET", "/v1/configuration"](
+        answer = self.registries[at].handlers["GET", "/v1/configuration"](
             Call("GET", "/v1/configuration", "", {})
         )
-        if told.value["version"] in self.contents:
-            expected = self.contents[told.value["version"]]
-            assert (told.value["configuration"], told.value.get("source")) == expected
+        if answer.value["version"] in self.contents:
+            expected = self.contents[answer.value["version"]]
+            assert (answer.value["configuration"], answer.value.get("source")) == expected
 
     @invariant()
     def one_content_under_one_version_that_only_goes_up(self):
-        held = self.log.tables.configuration
-        assert held.version >= self.version
-        self.version = held.version
-        if held.tree is not None:
-            content = held.tree, held.source
+        active = self.log.tables.configuration
+        assert active.version >= self.version
+        self.version = active.version
+        if active.tree is not None:
+            content = active.tree, active.source
             assert self.contents.setdefault(self.version, content) == content
-            assert ConfigurationChecker().check_value(held.tree).is_ok()
+            assert ConfigurationChecker().check_value(active.tree).is_ok()
 
 
 class OrderHistories(Histories.TestCase):
