--- a/src/willowpost/proxy/routing/at_most_once.py
+++ b/src/willowpost/proxy/routing/at_most_once.py
@@ -42,7 +42,7 @@
         """
         deadline = request.deadline(plan.route, self.clock.now())
         history, last_failure = AttemptHistory(), None
-        for attempt in range(plan.max_attempts):
+        for attempt in range(plan.attempt_limit):
             if attempt and self.clock.now() >= deadline:
                 break
             try:
--- a/src/willowpost/proxy/routing/planner.py
+++ b/src/willowpost/proxy/routing/planner.py
@@ -89,7 +89,7 @@
             is_cacheable=is_cacheable,
             shields=self._shields(request, route, now) if kind == CACHED else (),
             cached_entry=entry,
-            max_attempts=route.tries,
+            attempt_limit=route.tries,
             service=service,
             fetches_complete=fetches_complete,
             byte_range=cut_range,
--- a/src/willowpost/proxy/routing/repeatable_fetch.py
+++ b/src/willowpost/proxy/routing/repeatable_fetch.py
@@ -51,7 +51,7 @@
         self.deadline = request.deadline(plan.route, self.started_at)
         self.history = AttemptHistory(request.may_have_reached_origin)
         self.remaining_shields = [Shield(name, address) for name, address in plan.shields]
-        self.remaining_attempts = plan.max_attempts
+        self.remaining_attempts = plan.attempt_limit
         self.last_failure: ExchangeFailure | None = None
         self.last_error_response: WholeAnswer | None = None
         self.may_have_run = False
@@ -65,7 +65,7 @@
         """
         while self.remaining_attempts and not self.is_over:
             now = self.clock.now()
-            if self.remaining_attempts < self.plan.max_attempts and now >= self.deadline:
+            if self.remaining_attempts < self.plan.attempt_limit and now >= self.deadline:
                 break
             response = self._attempt(now)
             if response is not None:
--- a/src/willowpost/proxy/routing/request.py
+++ b/src/willowpost/proxy/routing/request.py
@@ -115,7 +115,7 @@
         is_cacheable: Whether the response may be stored and shared.
         shields: (name, address) of the shields to try, best first.
         cached_entry: A stale stored response to be revalidated, or None.
-        max_attempts: How many attempts may be made.
+        attempt_limit: How many attempts may be made.
         service: The service to send it to.
         fetches_complete: Whether to ask for the complete object, whatever range the caller wants.
         byte_range: The range to cut from the complete response, or None.
@@ -126,7 +126,7 @@
     is_cacheable: bool
     shields: tuple[tuple[str, str], ...] = ()
     cached_entry: Entry | None = None
-    max_attempts: int = 1
+    attempt_limit: int = 1
     service: str = ""
     fetches_complete: bool = False
     byte_range: ByteRange | None = None
@@ -139,14 +139,14 @@
     Attributes:
         route: The route it matched.
         slot: The log slot of the snapshot it was planned by.
-        max_attempts: How many attempts may be made.
+        attempt_limit: How many attempts may be made.
         cached_entry: Always None; attempts read this field of every plan.
         service: The service to send it to.
     """
 
     route: Route
     slot: int
-    max_attempts: int = 1
+    attempt_limit: int = 1
     cached_entry: Entry | None = None
     service: str = ""
 
