--- a/src/willowpost/proxy/routing/at_most_once.py
+++ b/src/willowpost/proxy/routing/at_most_once.py
@@ -16,7 +16,7 @@
 from willowpost.proxy.routing.request import AtMostOncePlan, Request
 
 # Before a caller repeats a request that may have run.
-UNKNOWN_RETRY_SECONDS = 2.0
+UNKNOWN_RETRY_SECONDS = 2
 
 
 class AtMostOnceSender:
--- a/src/willowpost/proxy/routing/attempt.py
+++ b/src/willowpost/proxy/routing/attempt.py
@@ -13,7 +13,7 @@
 NOT_RUN_OUTCOME = "not-run"
 UNKNOWN_OUTCOME = "unknown"
 NO_LEASE_REASON = "no fresh state updates from the core"
-NO_LEASE_RETRY_SECONDS = 2.0
+NO_LEASE_RETRY_SECONDS = 2
 
 
 class RequestRejectedError(WillowpostError):
--- a/src/willowpost/proxy/routing/planner.py
+++ b/src/willowpost/proxy/routing/planner.py
@@ -24,7 +24,7 @@
 from willowpost.proxy.routing.traffic_split import ServicePicker
 
 STALE_TABLES_RETRY_SECONDS = 0.1  # another proxy may be up to date
-EVACUATED_RETRY_SECONDS = 5.0
+EVACUATED_RETRY_SECONDS = 5
 
 
 class RequestPlanner:
