--- a/src/willowpost/proxy/admission/quota_share_owner.py
+++ b/src/willowpost/proxy/admission/quota_share_owner.py
@@ -167,7 +167,7 @@
                 claims.append(AcquireOwnership(role_of(name), own_id, ownership.fencing_token))
         if claims:
             plan.join(self.command_client.step(SubmitOperations(None, tuple(claims)), now))
-            plan.log("quota_shares", "claims", keys=[claim.key for claim in claims])
+            plan.log("quota_shares", "claims ownership", roles=[claim.key for claim in claims])
 
     def _is_next_owner(self, service_name: str, live: Mapping[str, DaemonEntry], now: int) -> bool:
         """Whether this proxy is to claim a service without an owner now."""
--- a/src/willowpost/proxy/routing/origin_attempts.py
+++ b/src/willowpost/proxy/routing/origin_attempts.py
@@ -74,14 +74,9 @@
         history.is_retry, was_helpful = False, False
         started_at = self.resources.clock.now()
         ticket = self.resources.origin_picker.began(origin_name, started_at)
-        forwarded = self._forwarded(request, plan, body, deadline, selected, started_at)
         try:
-            response = self.sender.send(
-                self._receiver(selected), forwarded, lambda: self._charge(plan.service, history)
-            )
-            self._record_response(selected, response, started_at)
-            self.response_check.check(response, selected.service)
-            self.sizes.record(plan.route.name, len(response.body))
+            forwarded = self._forwarded(request, plan, body, deadline, selected, started_at)
+            response = self._exchange(selected, forwarded, history, started_at)
             was_helpful = response.status < SERVER_ERROR_STATUS
             return response
         except ExchangeFailure as failure:
@@ -92,6 +87,23 @@
             if history.is_retry:
                 self.resources.retry_budget.record_retry_outcome(was_helpful, plan.service)
 
+    def _exchange(
+        self,
+        selected: SelectedOrigin,
+        forwarded: ForwardedRequest,
+        history: AttemptHistory,
+        started_at: int,
+    ) -> WholeAnswer:
+        """Sends the request; returns its response once that is known to be the origin's."""
+        plan = forwarded.plan
+        response = self.sender.send(
+            self._receiver(selected), forwarded, lambda: self._charge(plan.service, history)
+        )
+        self._record_response(selected, response, started_at)
+        self.response_check.check(response, selected.service)
+        self.sizes.record(plan.route.name, len(response.body))
+        return response
+
     def _forwarded(
         self,
         request: Request,
--- a/src/willowpost/proxy/routing/snapshot_updater.py
+++ b/src/willowpost/proxy/routing/snapshot_updater.py
@@ -5,7 +5,8 @@
 from willowpost.common.plan import Plan
 from willowpost.proxy.cache.store import CacheStore
 from willowpost.proxy.proxy_state import WARM_UP_US, ProxyState
-from willowpost.proxy.routing.snapshot import RoutingSnapshot, SnapshotMaker
+from willowpost.proxy.routing.snapshot import RoutingSnapshot
+from willowpost.proxy.routing.snapshot_maker import SnapshotMaker
 from willowpost.state.entries import EvacuationScope
 from willowpost.state.lifecycle import DaemonState
 
--- a/tests/proxy/routing/test_base_quota_shares.py
+++ b/tests/proxy/routing/test_base_quota_shares.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from willowpost.proxy.routing.snapshot import base_quota_shares
+from willowpost.proxy.routing.snapshot_maker import base_quota_shares
 
 
 class BaseQuotaShares(unittest.TestCase):
--- a/tests/proxy/routing/test_shields.py
+++ b/tests/proxy/routing/test_shields.py
@@ -15,7 +15,7 @@
 from willowpost.proxy.cache.store import CacheStore
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.shields import ShieldChooser
-from willowpost.proxy.routing.snapshot import SnapshotMaker
+from willowpost.proxy.routing.snapshot_maker import SnapshotMaker
 from willowpost.proxy.routing.snapshot_updater import SnapshotUpdater
 from willowpost.sim.fleet.shape import SMALL
 from willowpost.sim.fleet.world import FleetWorld
