--- a/src/willowpost/proxy/routing/attempt_resources.py
+++ b/src/willowpost/proxy/routing/attempt_resources.py
@@ -89,7 +89,7 @@
         quota_admission: Admission by the services' rates.
         slow_start: Admission to origins that warm up.
         retry_budget: The budget of retries.
-        origin_picker: Ranks the origins.
+        origin_selector: Ranks the origins.
         io: Opens connections and requests admission tokens.
         stats: Counters by name.
         header_names: Header names shared with callers and origins.
@@ -102,7 +102,7 @@
     quota_admission: QuotaAdmission
     slow_start: SlowStartAdmission
     retry_budget: RetryBudget
-    origin_picker: OriginPicker
+    origin_selector: OriginPicker
     io: RequestIo
     stats: Counter[str]
     outgoing: OutgoingRequests
--- a/src/willowpost/proxy/routing/origin_selection.py
+++ b/src/willowpost/proxy/routing/origin_admission.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SelectedOrigin:
+class AdmittedOrigin:
     """An origin that an attempt may be sent to now.
 
     Attributes:
@@ -40,8 +40,8 @@
     max_connections: int | None
 
 
-class OriginSelector:
-    """Selects origins.
+class OriginAdmission:
+    """Selects the origin for an attempt and takes its admission.
 
     Args:
         resources: State, admission and connections.
@@ -52,7 +52,7 @@
         self.resources = resources
         self.sizes = sizes
 
-    def select(self, plan: ForwardPlan, history: AttemptHistory) -> SelectedOrigin:
+    def select(self, plan: ForwardPlan, history: AttemptHistory) -> AdmittedOrigin:
         """Selects the origin for the next attempt and takes its admission.
 
         Raises:
@@ -78,13 +78,13 @@
         origin = self._admit_to_origin(candidates, service, plan.service, now)
         if not self._is_granted(resources.quota_admission.admit(service_name, now), service_name):
             raise RequestRejectedError(503, "no share of the allowance left", RETRY_LATER_SECONDS)
-        return SelectedOrigin(origin, service, max_connections)
+        return AdmittedOrigin(origin, service, max_connections)
 
     def _rank(
         self, route: Route, service: RoutableService, history: AttemptHistory, now: int
     ) -> list[RoutableOrigin]:
         """Returns the origins that may be tried, best first."""
-        candidates: list[RoutableOrigin] = self.resources.origin_picker.pick(
+        candidates: list[RoutableOrigin] = self.resources.origin_selector.pick(
             service.origins,
             self._allowed_zones(route),
             history.tried_origins,
@@ -127,8 +127,10 @@
         """
         if max_connections is None:
             return candidates
-        io = self.resources.io
-        available = [origin for origin in candidates if io.room(origin.name, max_connections)]
+        resources = self.resources
+        available = [
+            origin for origin in candidates if resources.io.room(origin.name, max_connections)
+        ]
         if not available:
             raise RequestRejectedError(503, "no connection left", RETRY_SOON_SECONDS)
         return available
--- a/src/willowpost/proxy/routing/origin_attempts.py
+++ b/src/willowpost/proxy/routing/origin_attempts.py
@@ -6,10 +6,10 @@
 from willowpost.proxy.routing.attempt import AttemptHistory
 from willowpost.proxy.routing.attempt_resources import AttemptResources
 from willowpost.proxy.routing.headers import ForwardOptions, headers_to_origin
-from willowpost.proxy.routing.origin_selection import (
+from willowpost.proxy.routing.origin_admission import (
+    AdmittedOrigin,
     NoRetryLeftError,
-    OriginSelector,
-    SelectedOrigin,
+    OriginAdmission,
 )
 from willowpost.proxy.routing.request import FetchPlan, ForwardPlan, Request
 from willowpost.proxy.routing.response_check import ResponseCheck
@@ -43,7 +43,7 @@
     ) -> None:
         self.resources, self.sender, self.response_check = resources, sender, response_check
         self.sizes = ResponseSizes()
-        self.selector = OriginSelector(resources, self.sizes)
+        self.origin_admission = OriginAdmission(resources, self.sizes)
 
     def send(
         self,
@@ -68,12 +68,12 @@
             RequestRejectedError: No origin may be tried now, or the proxy has no lease any more.
             CallerGone: Nobody waits for the response any more.
         """
-        selected = self.selector.select(plan, history)
+        selected = self.origin_admission.select(plan, history)
         origin_name = selected.origin.name
         history.tried_origins.add(origin_name)
         history.is_retry, was_helpful = False, False
         started_at = self.resources.clock.now()
-        ticket = self.resources.origin_picker.began(origin_name, started_at)
+        ticket = self.resources.origin_selector.began(origin_name, started_at)
         try:
             forwarded = self._forwarded(request, plan, body, deadline, selected, started_at)
             response = self._exchange(selected, forwarded, history, started_at)
@@ -83,13 +83,13 @@
             self._record_failure(selected, failure)
             raise
         finally:
-            self.resources.origin_picker.ended(origin_name, ticket)
+            self.resources.origin_selector.ended(origin_name, ticket)
             if history.is_retry:
                 self.resources.retry_budget.record_retry_outcome(was_helpful, plan.service)
 
     def _exchange(
         self,
-        selected: SelectedOrigin,
+        selected: AdmittedOrigin,
         forwarded: ForwardedRequest,
         history: AttemptHistory,
         started_at: int,
@@ -110,7 +110,7 @@
         plan: ForwardPlan,
         body: bytes,
         deadline: int,
-        selected: SelectedOrigin,
+        selected: AdmittedOrigin,
         now: int,
     ) -> ForwardedRequest:
         options = ForwardOptions(
@@ -122,7 +122,7 @@
         headers = headers_to_origin(request, self.resources.header_names, options)
         return ForwardedRequest(request, plan, headers, body, deadline)
 
-    def _receiver(self, selected: SelectedOrigin) -> Receiver:
+    def _receiver(self, selected: AdmittedOrigin) -> Receiver:
         origin, node_state = selected.origin, self.resources.node_state
         return Receiver(
             origin.name,
@@ -150,16 +150,16 @@
         history.may_have_reached_origin = True
 
     def _record_response(
-        self, selected: SelectedOrigin, response: WholeAnswer, started_at: int
+        self, selected: AdmittedOrigin, response: WholeAnswer, started_at: int
     ) -> None:
         now = self.resources.clock.now()
         load = response.header(self.resources.header_names.load)
-        self.resources.origin_picker.answered(selected.origin.name, now - started_at, load, now)
+        self.resources.origin_selector.answered(selected.origin.name, now - started_at, load, now)
 
-    def _record_failure(self, selected: SelectedOrigin, failure: ExchangeFailure) -> None:
+    def _record_failure(self, selected: AdmittedOrigin, failure: ExchangeFailure) -> None:
         """Ejects the origin for a while, and lets it warm up if its process has ended."""
         now, origin_name = self.resources.clock.now(), selected.origin.name
-        self.resources.origin_picker.eject(origin_name, now, EJECTION_US[failure.why])
+        self.resources.origin_selector.eject(origin_name, now, EJECTION_US[failure.why])
         is_unreachable = failure.silent and not failure.sent
         # The end of a named incarnation shows by 421, so a request that was sent does not count.
         has_ended = failure.died and not (selected.service.checks_incarnation and failure.sent)
--- a/src/willowpost/proxy/routing/repeatable_fetch.py
+++ b/src/willowpost/proxy/routing/repeatable_fetch.py
@@ -79,8 +79,8 @@
 
     def _attempt(self, now: int) -> WholeAnswer | None:
         """Makes one attempt; returns its response if it is final."""
-        picker = self.attempts.resources.origin_picker
-        self.remaining_shields.sort(key=lambda shield: picker.avoided(shield.name, now))
+        selector = self.attempts.resources.origin_selector
+        self.remaining_shields.sort(key=lambda shield: selector.avoided(shield.name, now))
         attempt_deadline = self._attempt_deadline(now)
         is_through_shield = bool(self.remaining_shields)
         self.remaining_attempts -= 1
--- a/src/willowpost/proxy/routing/shield_attempts.py
+++ b/src/willowpost/proxy/routing/shield_attempts.py
@@ -64,20 +64,20 @@
             RequestRejectedError: The proxy has no lease any more.
             CallerGone: Nobody waits for the response any more.
         """
-        clock, picker = self.resources.clock, self.resources.origin_picker
+        clock, selector = self.resources.clock, self.resources.origin_selector
         forwarded = self._forwarded(request, plan, deadline, history)
         started_at = clock.now()
-        ticket = picker.began(shield.name, started_at)
+        ticket = selector.began(shield.name, started_at)
         try:
             response = self.sender.send(self._receiver(shield), forwarded)
         except ExchangeFailure as failure:
-            picker.eject(shield.name, clock.now())
+            selector.eject(shield.name, clock.now())
             history.may_have_reached_origin |= failure.sent
             raise
         finally:
-            picker.ended(shield.name, ticket)
+            selector.ended(shield.name, ticket)
         now = clock.now()
-        picker.answered(shield.name, now - started_at, None, now)
+        selector.answered(shield.name, now - started_at, None, now)
         refusal = response.header(HOP_REJECT)
         history.may_have_reached_origin |= refusal != NOT_RUN_OUTCOME
         if refusal is not None and response.status < SERVER_ERROR_STATUS:
--- a/tests/proxy/routing/test_route_kinds.py
+++ b/tests/proxy/routing/test_route_kinds.py
@@ -20,7 +20,7 @@
             with self.subTest(status=status):
                 proxy = self.served((answer(b"", status, **headers),), (sealed(),))
                 # the other one is picked first
-                proxy.front.executor.attempts.resources.origin_picker.load[
+                proxy.front.executor.attempts.resources.origin_selector.load[
                     self.origins[1].address + "@1"
                 ] = 50
                 self.assertEqual(200, proxy.ask("POST", "/once/1", b"x", wp_request="n1")[0])
@@ -84,7 +84,7 @@
         ):
             with self.subTest(script=script):
                 proxy = self.served((script,), (sealed(),))
-                proxy.front.executor.attempts.resources.origin_picker.load[
+                proxy.front.executor.attempts.resources.origin_selector.load[
                     self.origins[1].address + "@1"
                 ] = 50
                 self.assertEqual((200, b"ok"), proxy.ask("GET", "/again/1", wp_request="n1")[:2])
