--- a/src/willowpost/proxy/routing/attempt_resources.py
+++ b/src/willowpost/proxy/routing/attempt_resources.py
@@ -62,19 +62,19 @@
 
     waiter: Callable[[], Waiter]
 
-    def token(self, service: str, origin: str) -> bool:
+    def token(self, service: str, origin: str, /) -> bool:
         """Requests an admission token; False if there is none."""
 
-    def room(self, owner: str, most: int | None) -> bool:
-        """Whether a request to this owner may have a connection, with at most `most` open."""
+    def room(self, owner: str, limit: int | None, /) -> bool:
+        """Whether a request to this owner may have a connection, with at most `limit` open."""
 
     def open(
-        self, owner: str, address: str, reuse: bool, most: int | None, seconds: float
+        self, owner: str, address: str, may_reuse: bool, limit: int | None, seconds: float, /
     ) -> ForwardExchange:
         """Returns a connection to the owner."""
 
     def finish(
-        self, owner: str, exchange: ForwardExchange, reuse: bool, answer: WholeAnswer | None
+        self, owner: str, exchange: Any, may_reuse: bool, response: WholeAnswer | None, /
     ) -> None:
         """Ends the use of a connection."""
 
