--- a/src/willowpost/proxy/origin/exchange.py
+++ b/src/willowpost/proxy/origin/exchange.py
@@ -6,24 +6,27 @@
 import contextlib
 import struct
 import time
+from collections.abc import Sequence
 from enum import Enum
+from typing import Any
 
 from gevent import socket
 
-from willowpost.proxy.origin.answer import Echo, WholeAnswer
-from willowpost.proxy.origin.answer_reader import AnswerReader
+from willowpost.proxy.origin.answer import Echo, Header, WholeAnswer
 from willowpost.proxy.origin.failure import ExchangeFailure
-from willowpost.proxy.origin.framing import request_head
-from willowpost.proxy.origin.instance_check import BYTES_MOST, InstanceCheck
+from willowpost.proxy.origin.instance_check import MAX_BODY_BYTES, InstanceCheck
+from willowpost.proxy.origin.request import OriginRequest
+from willowpost.proxy.origin.response_reader import ResponseReader
 from willowpost.shell.connecting import connected
 from willowpost.shell.parsing import HTTPParseError
 
-CONNECT_SECONDS = 1.0
-BLOCK = 64 * 1024
+CONNECT_TIMEOUT_SECONDS = 1.0
+RECEIVE_BYTES = 64 * 1024
 # The kernel ends a connection whose bytes the other side has not acknowledged for so long: what a
-# cut holds up must not arrive at any later time. The retry budget counts on it (budget.py).
+# network partition delays must not arrive at any later time. The retry budget counts on it
+# (budget.py).
 UNACKNOWLEDGED_MOST_MS = 3000
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 
 
 class Phase(Enum):
@@ -43,29 +46,36 @@
     whether a byte may have left.
 
     Args:
-        address: Where to connect.
+        address: Where to connect, host:port.
         connection: An open connection to reuse, or None to connect.
+
+    Attributes:
+        connection: The open connection, or None.
+        phase: How far the exchange has come.
+        reused: Whether the connection was opened for an earlier request.
+        reusable: Whether the connection may serve another request.
+        keep_alive: The response's Keep-Alive header, or None.
+        send_error: The error that broke the connection while the request was sent, or None.
     """
 
-    def __init__(self, address: str, connection=None):
+    def __init__(self, address: str, connection: Any = None) -> None:
         self.address = address
         self.connection = connection
         self.phase = Phase.CONNECT if connection is None else Phase.SEND
         self.reusable = False
         self.reused = connection is not None
-        # the connection broke while the request was sent
-        self.broken: OSError | None = None
-        # what the answer said of how long an idle connection is kept
-        self.keep: str | None = None
+        self.keep_alive: str | None = None
+        self.send_error: OSError | None = None
+        self._deadline_seconds = 0.0  # by time.monotonic()
 
-    def connect(self, seconds: float = CONNECT_SECONDS) -> None:
-        """Opens a new connection within `seconds`.
+    def connect(self, timeout_seconds: float = CONNECT_TIMEOUT_SECONDS) -> None:
+        """Opens a new connection within `timeout_seconds`, one second at most.
 
         Raises:
             ExchangeFailure: It could not be opened; nothing was sent.
         """
         try:
-            self.connection = connected(self.address, min(seconds, CONNECT_SECONDS))
+            self.connection = connected(self.address, min(timeout_seconds, CONNECT_TIMEOUT_SECONDS))
             self.connection.setsockopt(
                 socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MOST_MS
             )
@@ -75,22 +85,21 @@
                 sent=False,
                 died=isinstance(problem, ConnectionRefusedError),
                 silent=isinstance(problem, TimeoutError),
-            )
+            ) from problem
         self.phase = Phase.SEND
 
-    def instance_check(self, instance_check: InstanceCheck, seconds: float) -> None:
+    def instance_check(self, instance_check: InstanceCheck, timeout_seconds: float) -> None:
         """Checks which process answers on this connection; no byte of the request is sent.
 
         Raises:
-            ExchangeFailure: It is not the registered process, it is not sound, or the check failed.
+            ExchangeFailure: It is not the registered process, it is unhealthy, or the check failed.
         """
         self.phase = Phase.INSTANCE_CHECK
-        asked = request_head(
-            "GET", instance_check.path, [("host", self.address), ("via", "1.1 willowpost")], b""
-        )
-        answer = self._asked("GET", asked, seconds, BYTES_MOST, False, None)
-        instance_check.judge(answer)
-        if answer.rest is not None or not self.reusable:
+        headers = [("host", self.address), ("via", "1.1 willowpost")]
+        request = OriginRequest("GET", instance_check.path, headers)
+        response = self._exchange(request, timeout_seconds, MAX_BODY_BYTES)
+        instance_check.judge(response)
+        if response.rest is not None or not self.reusable:
             raise ExchangeFailure("instance check: does not keep the connection", sent=False)
         self.phase, self.reusable = Phase.SEND, False
 
@@ -98,82 +107,102 @@
         self,
         method: str,
         target: str,
-        headers: list,
+        headers: Sequence[Header],
         body: bytes,
-        seconds: float,
-        whole_max: int,
+        timeout_seconds: float,
+        max_buffered_bytes: int,
         echo: Echo | None = None,
     ) -> WholeAnswer:
-        """Sends the request once and waits at most `seconds` for its answer.
+        """Sends the request once and waits for its response.
 
-        Bodies over `whole_max` bytes come as the answer's `rest`.
+        Args:
+            method: The request's method.
+            target: Its path and query.
+            headers: Its headers.
+            body: Its body.
+            timeout_seconds: How long the exchange may take.
+            max_buffered_bytes: A larger body comes as the response's `rest`.
+            echo: The request id that the response must carry, or None.
 
         Raises:
-            ExchangeFailure: there is no whole answer to this request.
+            ExchangeFailure: There is no complete response to this request.
         """
-        asked = request_head(method, target, headers, body) + body
-        return self._asked(method, asked, seconds, whole_max, True, echo)
+        request = OriginRequest(method, target, headers, body)
+        return self._exchange(request, timeout_seconds, max_buffered_bytes, echo)
 
     def close(self) -> None:
-        """Ends the connection; it is not used again.
+        """Closes the connection.
 
-        One that is given up before the whole answer came is reset: an orderly close would leave the
-        kernel to deliver a request, perhaps much later, whose caller has had its final answer.
+        One that is abandoned before the complete response came is reset: an orderly close would
+        leave the kernel to deliver a request, perhaps much later, whose caller has had its final
+        reply.
         """
         self.reusable = False
         if self.connection is not None:
             if self.phase is not Phase.DONE:
                 with contextlib.suppress(OSError):
-                    self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+                    self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.connection.close()
             self.connection = None
 
-    def _asked(self, method, asked, seconds, whole_max, sent, echo):
-        self.until = time.monotonic() + seconds
+    @property
+    def is_reused(self) -> bool:
+        """Whether an earlier request was sent on the connection."""
+        return self.reused
+
+    def receive(self) -> bytes:
+        """Returns the next bytes, empty at the connection's end.
+
+        Raises:
+            TimeoutError: The deadline has passed.
+        """
+        seconds_left = self._deadline_seconds - time.monotonic()
+        if seconds_left <= 0:
+            raise TimeoutError("deadline")
+        self.connection.settimeout(seconds_left)
+        data: bytes = self.connection.recv(RECEIVE_BYTES)
+        return data
+
+    def complete(self, is_reusable: bool, keep_alive: str | None) -> None:
+        """Takes notice of a complete response: whether its connection can be reused."""
+        self.phase = Phase.DONE
+        self.reusable, self.keep_alive = is_reusable, keep_alive
+
+    def _exchange(
+        self,
+        request: OriginRequest,
+        timeout_seconds: float,
+        max_buffered_bytes: int,
+        echo: Echo | None = None,
+    ) -> WholeAnswer:
+        is_check = self.phase is Phase.INSTANCE_CHECK
+        self._deadline_seconds = time.monotonic() + timeout_seconds
         try:
-            self._send(asked, seconds)
-            self.phase = Phase.READ if sent else self.phase
-            return self._answer(method, whole_max, echo)
+            self._send(request.serialize(), timeout_seconds)
+            self.phase = self.phase if is_check else Phase.READ
+            return self._read(request.method, max_buffered_bytes, echo)
         except (OSError, HTTPParseError, ValueError) as problem:
-            died = self.reused and isinstance(problem, ConnectionError)
-            late = isinstance(problem, TimeoutError)
+            is_late = isinstance(problem, TimeoutError)
             raise ExchangeFailure(
-                f"{self.phase.value}: {'deadline' if late else problem}",
-                sent=sent,
-                died=died,
-                silent=late,
-            )
+                f"{self.phase.value}: {'deadline' if is_late else problem}",
+                sent=not is_check,
+                died=self.reused and isinstance(problem, ConnectionError),
+                silent=is_late,
+            ) from problem
 
-    def _send(self, asked, seconds):
+    def _send(self, data: bytes, timeout_seconds: float) -> None:
         """Sends the request; a broken connection is noted, since a response may have come first."""
-        self.connection.settimeout(seconds)
+        self.connection.settimeout(timeout_seconds)
         try:
-            self.connection.sendall(asked)
+            self.connection.sendall(data)
         except ConnectionError as problem:
-            self.broken = problem
+            self.send_error = problem
 
-    def _answer(self, method, whole_max, echo):
-        reader = AnswerReader(self)
+    def _read(self, method: str, max_buffered_bytes: int, echo: Echo | None) -> WholeAnswer:
+        reader = ResponseReader(self)
         try:
-            return reader.read(method, whole_max, echo)
+            return reader.read(method, max_buffered_bytes, echo)
         except (OSError, HTTPParseError, ValueError):
-            if self.broken is None:
+            if self.send_error is None:
                 raise
-        raise self.broken
-
-    def ended(self, reusable: bool, keep: str | None) -> None:
-        """Notes a complete response: whether the connection can be reused, and its Keep-Alive."""
-        self.phase = Phase.DONE
-        self.reusable, self.keep = reusable, keep
-
-    def receive(self) -> bytes:
-        """The next bytes, empty at the connection's end.
-
-        Raises:
-            TimeoutError: The deadline has passed.
-        """
-        left = self.until - time.monotonic()
-        if left <= 0:
-            raise TimeoutError("deadline")
-        self.connection.settimeout(left)
-        return self.connection.recv(BLOCK)
+        raise self.send_error
--- a/src/willowpost/proxy/origin/failure.py
+++ b/src/willowpost/proxy/origin/failure.py
@@ -1,25 +1,27 @@
-"""The failure of one exchange with an origin or a shield."""
+"""The error of one exchange with an origin or a shield."""
 
 from enum import Enum
 
+from willowpost.common.errors import WillowpostError
+
 
 class Why(Enum):
-    """What an exchange failed of; it decides for how long the origin is avoided."""
+    """Why an exchange failed; it decides for how long the origin is ejected."""
 
-    BROKE = "broke"  # it broke off, was silent, or could not be reached
-    INCARNATION = "incarnation"  # another life stands there
-    BUSY = "busy"  # it turned the request away
-    SERVICE = "service"  # the whole service turns requests away: another origin would too
+    BROKE = "broke"  # broken off, timed out, or not reachable
+    INCARNATION = "incarnation"  # another incarnation answers at the address
+    BUSY = "busy"  # the origin rejected the request
+    SERVICE = "service"  # all origins of the service would reject the request
 
 
-class ExchangeFailure(Exception):
-    """An exchange without a usable response.
+class ExchangeFailure(WillowpostError):
+    """An exchange ended without a usable response.
 
     Attributes:
         what: A description for logs and error replies.
         sent: False only if no byte of the request can have left.
         died: True only if the process that was connected to before is no longer there.
-        ran: False only if the origin has not run the request and never will.
+        ran: False only if the origin has not executed the request and never will.
         silent: The other side sent nothing for as long as the proxy would wait.
         why: The kind of failure.
     """
@@ -32,7 +34,7 @@
         ran: bool | None = None,
         silent: bool = False,
         why: Why = Why.BROKE,
-    ):
+    ) -> None:
         super().__init__(what)
         self.what = what
         self.sent = sent
--- a/src/willowpost/proxy/origin/instance_check.py
+++ b/src/willowpost/proxy/origin/instance_check.py
@@ -1,12 +1,14 @@
-"""The instance check: which process answers on a fresh connection, before a request is sent."""
+"""The instance check: which process answers on a new connection, before a request is sent."""
 
 from dataclasses import dataclass
 
+from willowpost.proxy.origin.answer import WholeAnswer
 from willowpost.proxy.origin.failure import ExchangeFailure
 
 TOKEN_HEADER = "wp-token"
 SECONDS = 1.0
-BYTES_MOST = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
+FIRST_UNHEALTHY_STATUS = 300
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,24 +16,24 @@
     """The expected process of an origin.
 
     Attributes:
-        path: Where to ask.
+        path: The path that is requested.
         token: Names one incarnation of one origin, as that incarnation registered it.
     """
 
     path: str
     token: str
 
-    def judge(self, answer) -> None:
-        """Passes only the very incarnation that registered, if it reports to be sound.
+    def judge(self, response: WholeAnswer) -> None:
+        """Accepts only the very incarnation that registered, if it reports to be healthy.
 
         Raises:
-            ExchangeFailure: Another process answers, or it reports to be unsound.
+            ExchangeFailure: Another process answers, or it reports to be unhealthy.
         """
-        if answer.header(TOKEN_HEADER) != self.token:
+        if response.header(TOKEN_HEADER) != self.token:
             raise ExchangeFailure(
                 "instance check: another life answers here", sent=False, died=True
             )
-        if answer.status >= 300:
+        if response.status >= FIRST_UNHEALTHY_STATUS:
             raise ExchangeFailure(
-                f"instance check: calls itself unsound, {answer.status}", sent=False
+                f"instance check: calls itself unsound, {response.status}", sent=False
             )
--- a/src/willowpost/proxy/origin/pick.py
+++ b/src/willowpost/proxy/origin/pick.py
@@ -1,67 +1,132 @@
-"""Picks the origin for a try: of those in force the one likely to answer first.
+"""Load balancing: ranks the origins in force by the response time to be expected of each.
 
 Origins in the proxy's own zone are preferred.
 """
 
+import math
 import random
+from collections.abc import Callable, Collection, Container, Iterable, Mapping, Sequence
+from dataclasses import dataclass, field
 from statistics import median
+from typing import Protocol
 
 from willowpost.common.clock import MILLI, SECOND
-from willowpost.proxy.origin.reports import REPORT_SPAN
-
-EJECT_SPAN = 1 * SECOND
-BUSIER_MOST = 4.0
-# a report is one moment's: a few more under way, or a third more, is no difference
-FEW, NOISE = 2, 1.3
-HEAVY = 32 * 1024  # bytes of an answer, from which on its way costs more than its wait
-OTHER_ZONE = {False: 1.3, True: 2.0}  # by whether answers are heavy
-OTHER_REGION = {False: 1.5, True: 8.0}
-# a request this long without an answer, and four times the usual, speaks against an origin
-SILENT_AFTER = 250 * MILLI
-SILENT_TIMES = 4
-USUAL = 50 * MILLI  # while none of its kind has answered yet
-SMOOTH = 0.15
-FADE = 1 * SECOND  # what an answer said of its origin's load is worth half after this
-FORGET = 2 * SECOND
-SLACK = 0.6  # part of the slots that may be busy before waiting is to be feared
-CHANCE = 0.1  # so that several proxies do not run to the same one at once
+from willowpost.proxy.origin.reports import MAX_REPORT_AGE_US
+from willowpost.proxy.routing.snapshot import OriginCard
+
+EJECTION_US = 1 * SECOND
+MAX_LOAD_PENALTY = 4.0
+# a report is of one moment: a few requests more, or a third more, is no difference
+LOAD_OFFSET, LOAD_TOLERANCE = 2, 1.3
+HEAVY = 32 * 1024  # bytes of a response, from which on its transfer costs more than its wait
+# the cost of a distance by whether responses are heavy
+OTHER_ZONE_COST = {False: 1.3, True: 2.0}
+OTHER_REGION_COST = {False: 1.5, True: 8.0}
+# an origin is unresponsive if a request waits this long, and four times the usual latency
+MIN_UNRESPONSIVE_US = 250 * MILLI
+UNRESPONSIVE_LATENCIES = 4
+DEFAULT_LATENCY_US = 50 * MILLI  # while no origin of the service has answered yet
+LATENCY_SMOOTHING = 0.15
+LOAD_HALF_LIFE_US = 1 * SECOND  # of the load that a response reports
+LATENCY_HALF_LIFE_US = 2 * SECOND  # of what is known of an origin that is sent nothing
+FREE_UTILIZATION = 0.6  # the part of the slots that may be busy before queueing is expected
+JITTER = 0.1  # so that several proxies do not choose the same origin at once
+
+
+class RandomSource(Protocol):
+    """A source of random numbers, such as `random.Random`."""
+
+    def random(self) -> float:
+        """Returns a number from 0 to 1."""
+
+
+@dataclass(frozen=True, slots=True)
+class ResponseLoad:
+    """The load that an origin reported in its last response with a load header.
+
+    Attributes:
+        busy: Requests that it works on or has queued.
+        slots: Requests that it works on at once.
+        own_in_flight: This proxy's requests to it at that moment.
+        received_at: When the response came, by this process's clock, in µs.
+    """
+
+    busy: int
+    slots: int
+    own_in_flight: int
+    received_at: int
+
+
+@dataclass(slots=True)
+class OriginMeasurements:
+    """What was measured of one origin.
+
+    Attributes:
+        latency_us: The smoothed duration of an exchange, in µs; None before the first response.
+        last_response_at: When the last response came, by this process's clock, in µs, or None.
+        load: The load that it last reported in a response, or None.
+        sent_at: When each request in flight was sent, by ticket, in µs.
+    """
+
+    latency_us: float | None = None
+    last_response_at: int | None = None
+    load: ResponseLoad | None = None
+    sent_at: dict[int, int] = field(default_factory=dict)
+
+
+NO_MEASUREMENTS = OriginMeasurements()
 
 
 class OriginPicker:
     """Ranks origins by expected response time, load and distance.
 
-    An origin that just failed is ranked last, and a cold one after all others that are sound. The
-    load in an origin's heartbeats can only lower its rank, by a factor of at most BUSIER_MOST: an
-    origin that reports too little load gains nothing over one that reports none.
+    An origin that just failed is ranked last, and one that is warming up after all others that are
+    healthy. The load in an origin's heartbeats can only lower its rank, by a factor of at most
+    MAX_LOAD_PENALTY: an origin that reports too little load gains nothing over one that reports
+    none.
 
     Args:
         zone: The proxy's zone.
         chance: The source of random numbers.
-        reports: Gives origin to (reported load, when in µs).
+        reports: Returns the load reports, (load, reported at in µs) by origin.
         regions: Zone to region.
+
+    Attributes:
+        load: The number of this proxy's requests in flight by origin; not forgotten by keep_only(),
+            since each request ends its own count.
+        ejected_until: Until when an origin is ranked last, by this process's clock, in µs.
     """
 
-    def __init__(self, zone: str, chance=random, reports=dict, regions=None):
-        self.chance = chance
-        self.reports = reports  # () -> origin -> (load, when)
+    def __init__(
+        self,
+        zone: str,
+        chance: RandomSource = random,
+        reports: Callable[[], Mapping[str, tuple[float, int]]] = dict,
+        regions: Mapping[str, str] | None = None,
+    ) -> None:
         self.zone = zone
-        self.regions = regions or {}  # zone -> region
+        self.chance = chance
+        self.reports = reports
+        self.regions = regions or {}
         self.load: dict[str, int] = {}
-        self.ejected: dict[str, int] = {}
-        self.usual: dict[str, float] = {}  # origin -> smoothed µs of an answer
-        # origin -> (busy, slots, own load then, when) of its last answer
-        self.answers: dict[str, tuple] = {}
-        self.waiting: dict[str, dict] = {}  # origin -> {ticket: since}
-        self.answered_at: dict[str, int] = {}
-        self.ticket = 0
+        self.ejected_until: dict[str, int] = {}
+        self._measurements: dict[str, OriginMeasurements] = {}
+        self._last_ticket = 0
 
-    def pick(self, origins, zones, tried, now: int, heavy: bool = False) -> list:
-        """The origins that may be tried, best first.
+    def pick(
+        self,
+        origins: Iterable[OriginCard],
+        zones: Container[str] | None,
+        tried: Container[str],
+        now: int,
+        heavy: bool = False,
+    ) -> list[OriginCard]:
+        """Returns the origins that a request may be sent to, best first.
 
         Args:
             origins: The origins in force.
             zones: Zones whose origins may serve; None for all.
-            tried: Names of origins already tried for this request.
+            tried: Names of origins that this request was sent to already.
             now: This process's clock, in µs.
             heavy: Whether large responses are to be expected.
         """
@@ -70,127 +135,157 @@
             for origin in origins
             if (zones is None or origin.zone in zones) and origin.name not in tried
         ]
-        busier = self._busier(allowed, now)
-        quickest = min(
-            (self.usual[origin.name] for origin in allowed if origin.name in self.usual),
-            default=USUAL,
-        )
+        penalties = self._load_penalties(allowed, now)
+        least_latency = self._least_latency(allowed)
         return sorted(
             allowed,
             key=lambda origin: (
-                self.ejected.get(origin.name, 0) > now,
+                self._is_ejected(origin.name, now),
                 origin.cold,
                 self.silent(origin.name, now),
-                self._weight(origin, quickest, now, heavy) * busier.get(origin.name, 1.0),
+                self._cost(origin, least_latency, now, heavy) * penalties.get(origin.name, 1.0),
                 self.chance.random(),
             ),
         )
 
     def began(self, name: str, now: int = 0) -> int:
-        """Counts a request under way to an origin and returns its ticket for ended()."""
+        """Counts a request to an origin as in flight.
+
+        Returns:
+            A ticket for ended().
+        """
         self.load[name] = self.load.get(name, 0) + 1
-        self.ticket += 1
-        self.waiting.setdefault(name, {})[self.ticket] = now
-        return self.ticket
+        self._last_ticket += 1
+        self._measurements_of(name).sent_at[self._last_ticket] = now
+        return self._last_ticket
 
     def ended(self, name: str, ticket: int = 0) -> None:
         """Ends the count of a request, whatever its result."""
-        left = self.load.get(name, 1) - 1
-        if left:
-            self.load[name] = left
+        remaining = self.load.get(name, 1) - 1
+        if remaining:
+            self.load[name] = remaining
         else:
             self.load.pop(name, None)
-        self.waiting.get(name, {}).pop(ticket, None)
+        if name in self._measurements:
+            self._measurements[name].sent_at.pop(ticket, None)
 
-    def answered(self, name: str, took: int, said: str | None, now: int) -> None:
+    def answered(self, name: str, took: int, load_header: str | None, now: int) -> None:
         """Records a response.
 
         Args:
             name: The origin.
             took: Duration of the exchange, in µs.
-            said: The origin's load header: running, waiting and slots, joined by commas; or None.
+            load_header: The origin's load header: running, waiting and slots, joined by commas; or
+                None.
             now: This process's clock, in µs.
         """
-        held = self.usual.get(name)
-        self.usual[name] = took if held is None else held + SMOOTH * (took - held)
-        self.answered_at[name] = now
-        parts = (said or "").split(",")
-        if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
-            running, queued, slots = map(int, parts)
-            self.answers[name] = (running + queued, slots, self.load.get(name, 0), now)
-
-    def eject(self, name: str, now: int, span: int = EJECT_SPAN) -> None:
+        measurements = self._measurements_of(name)
+        latency = measurements.latency_us
+        measurements.latency_us = (
+            took if latency is None else latency + LATENCY_SMOOTHING * (took - latency)
+        )
+        measurements.last_response_at = now
+        numbers = (load_header or "").split(",")
+        if len(numbers) == 3 and all(number.strip().isdigit() for number in numbers):
+            running, queued, slots = map(int, numbers)
+            measurements.load = ResponseLoad(running + queued, slots, self.load.get(name, 0), now)
+
+    def eject(self, name: str, now: int, span: int = EJECTION_US) -> None:
         """Ranks an origin last for `span` µs from now."""
-        self.ejected = {held: until for held, until in self.ejected.items() if until > now}
-        self.ejected[name] = now + span
+        self.ejected_until = {
+            origin: until for origin, until in self.ejected_until.items() if until > now
+        }
+        self.ejected_until[name] = now + span
 
-    def keep_only(self, names) -> None:
+    def keep_only(self, names: Container[str]) -> None:
         """Forgets the measurements of all origins but these."""
-        for held in (self.usual, self.answers, self.waiting, self.answered_at):
-            for name in [name for name in held if name not in names]:
-                del held[name]
+        for name in [name for name in self._measurements if name not in names]:
+            del self._measurements[name]
 
-    def avoided(self, name, now):
-        """Whether a shield should be asked last: it failed lately, or is silent."""
-        return self.ejected.get(name, 0) > now or self.silent(name, now)
+    def avoided(self, name: str, now: int) -> bool:
+        """Whether a shield should be tried last: it failed lately, or is unresponsive."""
+        return self._is_ejected(name, now) or self.silent(name, now)
 
-    def silent(self, name, now):
+    def silent(self, name: str, now: int) -> bool:
         """Whether it owes a response for long and has answered nothing sent later."""
-        oldest = min(self.waiting.get(name, {}).values(), default=now)
+        measurements = self._measurements.get(name, NO_MEASUREMENTS)
+        oldest_sent_at = min(measurements.sent_at.values(), default=now)
+        latency = measurements.latency_us
+        usual_latency = DEFAULT_LATENCY_US if latency is None else latency
+        limit = max(MIN_UNRESPONSIVE_US, UNRESPONSIVE_LATENCIES * usual_latency)
         return (
-            now - oldest > max(SILENT_AFTER, SILENT_TIMES * self.usual.get(name, USUAL))
-            and self.answered_at.get(name, 0) <= oldest
+            now - oldest_sent_at > limit and (measurements.last_response_at or 0) <= oldest_sent_at
         )
 
-    def _busier(self, origins, now):
-        """How many times busier than the median each origin reports to be, at least 1.
+    def _measurements_of(self, name: str) -> OriginMeasurements:
+        return self._measurements.setdefault(name, OriginMeasurements())
+
+    def _is_ejected(self, name: str, now: int) -> bool:
+        return self.ejected_until.get(name, 0) > now
+
+    def _least_latency(self, origins: Sequence[OriginCard]) -> float:
+        measured = (self._measurements.get(origin.name, NO_MEASUREMENTS) for origin in origins)
+        latencies = (each.latency_us for each in measured if each.latency_us is not None)
+        return min(latencies, default=DEFAULT_LATENCY_US)
 
-        Load is relative to the origin's rate. Reports older than REPORT_SPAN do not count.
+    def _load_penalties(self, origins: Collection[OriginCard], now: int) -> dict[str, float]:
+        """Returns how many times busier than the median each origin reports to be, at least 1.
+
+        Load is relative to the origin's rate. Reports older than MAX_REPORT_AGE_US do not count.
         """
-        told = {
-            origin.name: (held[0] + FEW) / origin.rate
+        reports = self.reports()
+        relative_loads = {
+            origin.name: (reports[origin.name][0] + LOAD_OFFSET) / origin.rate
             for origin in origins
-            if (held := self.reports().get(origin.name)) is not None
-            and now - held[1] <= REPORT_SPAN
+            if origin.name in reports and now - reports[origin.name][1] <= MAX_REPORT_AGE_US
         }
-        middle = median(told.values()) if told else 1.0
+        median_load = median(relative_loads.values()) if relative_loads else 1.0
         return {
-            name: min(BUSIER_MOST, max(1.0, pressure / middle / NOISE))
-            for name, pressure in told.items()
+            name: min(MAX_LOAD_PENALTY, max(1.0, load / median_load / LOAD_TOLERANCE))
+            for name, load in relative_loads.items()
         }
 
-    def _far(self, zone, heavy):
-        same = zone == self.zone or self.regions.get(zone) == self.regions.get(self.zone)
-        return 1.0 if zone == self.zone else (OTHER_ZONE if same else OTHER_REGION)[heavy]
+    def _distance_cost(self, zone: str, heavy: bool) -> float:
+        if zone == self.zone:
+            return 1.0
+        is_same_region = self.regions.get(zone) == self.regions.get(self.zone)
+        return (OTHER_ZONE_COST if is_same_region else OTHER_REGION_COST)[heavy]
 
-    def _likely(self, name, quickest, now):
-        """The expected response time, in µs.
+    def _expected_latency(self, name: str, least_latency: float, now: int) -> float:
+        """Returns the expected response time, in µs.
 
-        It returns to the quickest origin's while the origin is not asked, since it may have
-        recovered.
+        It returns to the least latency of all while the origin is sent nothing, since it may have
+        recovered. An origin that has not answered yet counts as quick as the quickest, or it would
+        never be tried where all others are quick.
         """
-        held = self.usual.get(name, quickest)
-        return quickest + (held - quickest) * 0.5 ** (
-            (now - self.answered_at.get(name, now)) / FORGET
-        )
+        measurements = self._measurements.get(name, NO_MEASUREMENTS)
+        if measurements.latency_us is None or measurements.last_response_at is None:
+            return least_latency
+        idle_us = now - measurements.last_response_at
+        excess = measurements.latency_us - least_latency
+        return least_latency + excess * math.pow(0.5, idle_us / LATENCY_HALF_LIFE_US)
 
-    def _weight(self, origin, quickest, now, heavy):
-        """The cost of choosing an origin; the least is best.
+    def _queueing_cost(self, origin: OriginCard, now: int) -> float:
+        """Returns by which factor the origin's load prolongs a response."""
+        in_flight = self.load.get(origin.name, 0)
+        load = self._measurements.get(origin.name, NO_MEASUREMENTS).load
+        if load is None:
+            load = ResponseLoad(0, origin.slots, 0, now)
+        decay = math.pow(0.5, (now - load.received_at) / LOAD_HALF_LIFE_US)
+        in_flight_of_others = max(0, load.busy - load.own_in_flight) * decay
+        utilization = (in_flight_of_others + in_flight + 1) / max(1, load.slots)
+        queueing = max(0.0, utilization - FREE_UTILIZATION) * 2.0
+        overload = max(0.0, utilization - 1.0) * 6.0
+        return 1.0 + queueing + overload
 
-        An origin that has not answered yet counts as quick as the quickest, or it would never be
-        tried where all others are quick.
-        """
-        far = self._far(origin.zone, heavy)
-        own = self.load.get(origin.name, 0)
+    def _cost(self, origin: OriginCard, least_latency: float, now: int, heavy: bool) -> float:
+        """Returns the cost of choosing an origin; the least is best."""
+        distance = self._distance_cost(origin.zone, heavy)
         if not origin.slots:
-            return (own + 1) * far / origin.rate
-        busy, slots, then, when = self.answers.get(origin.name, (0, origin.slots, 0, now))
-        others = max(0, busy - then) * 0.5 ** ((now - when) / FADE)
-        part = (others + own + 1) / max(1, slots)
-        waits = 1.0 + max(0.0, part - SLACK) * 2.0 + max(0.0, part - 1.0) * 6.0
+            return (self.load.get(origin.name, 0) + 1) * distance / origin.rate
         return (
-            self._likely(origin.name, quickest, now)
-            * waits
-            * far
-            * (1.0 + CHANCE * self.chance.random())
+            self._expected_latency(origin.name, least_latency, now)
+            * self._queueing_cost(origin, now)
+            * distance
+            * (1.0 + JITTER * self.chance.random())
         )
--- a/tests/proxy/origin/test_exchange.py
+++ b/tests/proxy/origin/test_exchange.py
@@ -16,9 +16,9 @@
 
 from tests.support.scripted_proxy import Scripted, echoed, head, sealed
 from tests.support.served import ScriptedOrigin, answer
-from willowpost.proxy.origin.answer_reader import AnswerReader
 from willowpost.proxy.origin.exchange import Exchange
 from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.response_reader import ResponseReader
 from willowpost.shell.probe import probe_status
 
 SOURCES = Path(__file__).parents[3] / "src" / "willowpost"
@@ -189,7 +189,7 @@
     def test_without_the_check_of_the_id_the_answer_of_another_passes(self):
         proxy = self.served((sealed(), answer(b"whose", wp_seal="s")))
         proxy.ask("GET", "/again/1", wp_request="n1")
-        with mock.patch.object(AnswerReader, "_check_echo", lambda *args: None):
+        with mock.patch.object(ResponseReader, "_check_request_id", lambda *args: None):
             self.assertEqual(b"whose", proxy.ask("GET", "/again/2", wp_request="n2")[1])
 
 
--- a/tests/proxy/origin/test_exchange_fuzz.py
+++ b/tests/proxy/origin/test_exchange_fuzz.py
@@ -15,9 +15,9 @@
 from tests.support.scripted_proxy import Scripted, echoed, head, sealed
 from willowpost.proxy.caller.answers import INTERIM as INTERIM_ANSWER
 from willowpost.proxy.origin.answer import Echo
-from willowpost.proxy.origin.answer_reader import FOREIGN_MOST
 from willowpost.proxy.origin.exchange import Exchange
 from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.response_reader import MAX_SKIPPED_RESPONSES
 
 ID = "mine"
 ECHO = Echo("wp-request", ID)
@@ -101,7 +101,7 @@
 
 @st.composite
 def scripts(draw):
-    foreign = draw(st.integers(0, FOREIGN_MOST + 1))
+    foreign = draw(st.integers(0, MAX_SKIPPED_RESPONSES + 1))
     data = b""
     for _ in range(foreign):
         data += draw(INTERIM) + framed(draw(STATUSES), draw(BODIES), b"other", False)
@@ -115,7 +115,7 @@
     send_breaks = draw(st.integers(0, 9)) == 0
     return Script(
         data[:kept],
-        (status, body) if kept >= whole and foreign <= FOREIGN_MOST else None,
+        (status, body) if kept >= whole and foreign <= MAX_SKIPPED_RESPONSES else None,
         foreign,
         not (foreign or data[whole:kept] or close or send_breaks),
         not (foreign or close or send_breaks),
@@ -177,7 +177,7 @@
         class Blind(Echo):
             __slots__ = ()
 
-            def foreign(self, headers):
+            def names_other_request(self, headers):
                 return False
 
         theirs = framed(200, b"theirs", b"other", False)
--- a/tests/proxy/origin/test_origin_picker.py
+++ b/tests/proxy/origin/test_origin_picker.py
@@ -6,7 +6,7 @@
 from unittest.mock import patch
 
 from willowpost.proxy.origin.pick import OriginPicker
-from willowpost.proxy.origin.reports import REPORT_SPAN
+from willowpost.proxy.origin.reports import MAX_REPORT_AGE_US
 from willowpost.proxy.routing.snapshot import OriginCard
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
@@ -45,7 +45,7 @@
     def test_a_slow_origin_is_picked_less_and_found_again(self):
         world = rushed()
         with_reports = part(spread(world, 15))
-        with patch.object(OriginPicker, "_busier", lambda *args: {}):
+        with patch.object(OriginPicker, "_load_penalties", lambda *args: {}):
             without = part(spread(rushed(), 15))
         self.assertLess(with_reports, 0.7 * without)
         self.assertGreater(with_reports, 0)
@@ -95,11 +95,13 @@
     def test_stale_reports_count_for_nothing_and_no_report_outweighs_silence(self):
         cards = [OriginCard(name, name, "a", 100, 10, False) for name in "abc"]
         pick = OriginPicker("a", reports=lambda: {"a": (90, 0), "b": (0, 0)})
-        self.assertEqual("a", pick.pick(cards, None, (), REPORT_SPAN)[-1].name)
-        firsts = Counter(pick.pick(cards, None, (), REPORT_SPAN)[0].name for _ in range(200))
+        self.assertEqual("a", pick.pick(cards, None, (), MAX_REPORT_AGE_US)[-1].name)
+        firsts = Counter(pick.pick(cards, None, (), MAX_REPORT_AGE_US)[0].name for _ in range(200))
         # the idle one draws no more than the silent one
         self.assertGreater(min(firsts["b"], firsts["c"]), 50)
-        lasts = Counter(pick.pick(cards, None, (), REPORT_SPAN + 1)[-1].name for _ in range(200))
+        lasts = Counter(
+            pick.pick(cards, None, (), MAX_REPORT_AGE_US + 1)[-1].name for _ in range(200)
+        )
         self.assertGreater(min(lasts[name] for name in "abc"), 30)
 
 
