--- a/src/willowpost/proxy/cache/ranges.py
+++ b/src/willowpost/proxy/cache/ranges.py
@@ -2,49 +2,53 @@
 
 import re
 
-from willowpost.proxy.origin.answer import WholeAnswer
+from willowpost.proxy.origin.answer import Header, WholeAnswer
 
-ONE = re.compile(r"\s*bytes\s*=\s*(\d+)-(\d*)\s*")
+SINGLE_RANGE = re.compile(r"\s*bytes\s*=\s*(\d+)-(\d*)\s*")
+PARTIAL_CONTENT = 206
+RANGE_NOT_SATISFIABLE = 416
+ByteRange = tuple[int, int | None]  # first and last; last is None for an open range
 
 
-def one_range(value: str | None) -> tuple[int, int | None] | None:
+def one_range(value: str | None) -> ByteRange | None:
     """Parses a Range header that names one range with its first byte.
 
     Returns:
         (first, last), where last is None for an open range; None for any other header, whose
         request is then sent to the origin.
     """
-    said = ONE.fullmatch(value or "")
-    if said is None:
+    match = SINGLE_RANGE.fullmatch(value or "")
+    if match is None:
         return None
-    first, last = int(said[1]), int(said[2]) if said[2] else None
+    first, last = int(match[1]), int(match[2]) if match[2] else None
     return None if last is not None and last < first else (first, last)
 
 
 class PartMaker:
-    """Makes partial responses from whole ones.
+    """Makes partial responses from complete ones.
 
     A 206 keeps the stored response's headers, its seal included. A 416 is written by this proxy and
-    not by the origin, so the header named `seal` (lower case) is left out of it.
+    not by the origin, so the header named `seal_header` (lower case) is left out of it.
     """
 
-    def __init__(self, seal: str = ""):
-        self.seal = seal
+    def __init__(self, seal_header: str = "") -> None:
+        self.seal_header = seal_header
 
-    def make(self, whole: WholeAnswer, wanted: tuple[int, int | None]) -> WholeAnswer:
-        """A 206 with the bytes `wanted` (first, last or None), or a 416 if none of them exist."""
-        size, (first, last) = len(whole.body), wanted
+    def make(self, complete: WholeAnswer, byte_range: ByteRange) -> WholeAnswer:
+        """Returns a 206 with the range's bytes, or a 416 if none of them exist."""
+        size, (first, last) = len(complete.body), byte_range
         headers = [
             (name, value)
-            for name, value in whole.headers
+            for name, value in complete.headers
             if name not in ("content-length", "content-range")
         ]
         if first >= size:
-            unsealed = [pair for pair in headers if pair[0] != self.seal]
-            return WholeAnswer(416, [*unsealed, ("content-range", f"bytes */{size}")], b"")
-        end = size - 1 if last is None else min(last, size - 1)
-        return WholeAnswer(
-            206,
-            [*headers, ("content-range", f"bytes {first}-{end}/{size}")],
-            whole.body[first : end + 1],
-        )
+            return self._not_satisfiable(headers, size)
+        last = size - 1 if last is None else min(last, size - 1)
+        headers.append(("content-range", f"bytes {first}-{last}/{size}"))
+        return WholeAnswer(PARTIAL_CONTENT, headers, complete.body[first : last + 1])
+
+    def _not_satisfiable(self, headers: list[Header], size: int) -> WholeAnswer:
+        unsealed = [header for header in headers if header[0] != self.seal_header]
+        unsealed.append(("content-range", f"bytes */{size}"))
+        return WholeAnswer(RANGE_NOT_SATISFIABLE, unsealed, b"")
--- a/src/willowpost/proxy/cache/storing.py
+++ b/src/willowpost/proxy/cache/storing.py
@@ -1,22 +1,26 @@
 """RFC 9111: what may be stored in a shared cache, for how long, under which key."""
 
 import re
+from collections.abc import Mapping
 from dataclasses import dataclass
 from email.utils import parsedate_to_datetime
 
 from willowpost.common.clock import SECOND
 
-STATUSES = {200, 203, 204, 300, 301, 404, 405, 410, 414, 501}
-TOKEN = re.compile(r'([a-zA-Z0-9-]+)(?:=(?:"([^"]*)"|([^,;\s]*)))?')
+CACHEABLE_STATUSES = frozenset({200, 203, 204, 300, 301, 404, 405, 410, 414, 501})
+DIRECTIVE = re.compile(r'([a-zA-Z0-9-]+)(?:=(?:"([^"]*)"|([^,;\s]*)))?')
+# RFC 9111, 3.5: directives that allow to store the response to a request with Authorization
+AUTHORIZED_DIRECTIVES = frozenset({"public", "s-maxage", "must-revalidate"})
+SHARED_DIRECTIVES = frozenset({"public", "s-maxage"})
 
 
 def directives(value: str) -> dict[str, str]:
-    """Cache-Control directives by lower-case name; the value is empty if there is none."""
-    return {name.lower(): quoted or plain for name, quoted, plain in TOKEN.findall(value or "")}
+    """Returns Cache-Control directives by lower-case name; the value is empty if there is none."""
+    return {name.lower(): quoted or plain for name, quoted, plain in DIRECTIVE.findall(value or "")}
 
 
-def when(value: str) -> int | None:
-    """An HTTP date in µs since the epoch, or None if it is malformed."""
+def parse_http_date(value: str) -> int | None:
+    """Returns an HTTP date in µs since the epoch, or None if it is malformed."""
     try:
         return int(parsedate_to_datetime(value).timestamp() * SECOND)
     except (TypeError, ValueError, IndexError, OverflowError):
@@ -24,7 +28,7 @@
 
 
 def whole(value: str | None) -> int | None:
-    """A header's value as a whole number, or None if it is absent or malformed."""
+    """Returns a header's value as a whole number, or None if it is absent or malformed."""
     return int(value) if value is not None and value.strip().isdigit() else None
 
 
@@ -47,75 +51,92 @@
     """Decides whether a shared cache may store a response.
 
     Personal responses are never stored: `private`, `no-store`, `Set-Cookie` and `Vary: *`, and
-    answers to requests with Authorization or Cookie unless the origin calls them public (or names
+    responses to requests with Authorization or Cookie unless the origin calls them public (or names
     the cookie in Vary).
     """
 
     def judge(
-        self, request: dict, status: int, answer: dict, keep_seconds: float
+        self,
+        request: Mapping[str, str],
+        status: int,
+        response: Mapping[str, str],
+        keep_seconds: float,
     ) -> Storing | None:
-        """How to store the response, or None if it must not be stored.
+        """Returns how to store the response, or None if it must not be stored.
 
         Args:
             request: The request's headers, lower-case names.
             status: The response's status.
-            answer: The response's headers, lower-case names, repeated ones joined.
+            response: The response's headers, lower-case names, repeated ones joined.
             keep_seconds: The operator's upper limit of the lifetime, and the lifetime of a 200 that
                 names none.
         """
-        asked, said = (
-            directives(request.get("cache-control", "")),
-            directives(answer.get("cache-control", "")),
-        )
-        if status not in STATUSES or "no-store" in asked or "no-store" in said or "private" in said:
-            return None
-        if (
-            "set-cookie" in answer
-            or answer.get("vary", "").strip() == "*"
-            or "*" in answer.get("vary", "")
-        ):
-            return None
-        names = {name.strip().lower() for name in answer.get("vary", "").split(",")}
+        requested = directives(request.get("cache-control", ""))
+        stated = directives(response.get("cache-control", ""))
+        names = {name.strip().lower() for name in response.get("vary", "").split(",")}
         vary = tuple(sorted(names - {""}))
-        public = bool({"public", "s-maxage", "must-revalidate"} & said.keys())
-        if "authorization" in request and not public:
+        is_forbidden = "no-store" in requested or "no-store" in stated or "private" in stated
+        if status not in CACHEABLE_STATUSES or is_forbidden:
             return None
-        if "cookie" in request and not ({"public", "s-maxage"} & said.keys() or "cookie" in vary):
+        if "set-cookie" in response or "*" in response.get("vary", ""):
             return None
-        if "range" in request or "content-range" in answer:
+        if self._is_personal(request, stated, vary):
             return None
-        lifetime = self._lifetime(said, answer, keep_seconds, status)
-        checkable = "etag" in answer or "last-modified" in answer
-        if lifetime <= 0 and not checkable:
+        if "range" in request or "content-range" in response:
             return None
-        return Storing(lifetime, vary, public)
-
-    def _lifetime(self, said, answer, keep_seconds, status):
-        most = int(keep_seconds * SECOND)
-        if "no-cache" in said:
+        lifetime = self._lifetime(stated, response, keep_seconds, status)
+        has_validator = "etag" in response or "last-modified" in response
+        if lifetime <= 0 and not has_validator:
+            return None
+        return Storing(lifetime, vary, bool(AUTHORIZED_DIRECTIVES & stated.keys()))
+
+    def _is_personal(
+        self, request: Mapping[str, str], stated: Mapping[str, str], vary: tuple[str, ...]
+    ) -> bool:
+        """Whether the response may be meant for the sender of this request alone."""
+        if "authorization" in request and not AUTHORIZED_DIRECTIVES & stated.keys():
+            return True
+        is_shared = bool(SHARED_DIRECTIVES & stated.keys()) or "cookie" in vary
+        return "cookie" in request and not is_shared
+
+    def _lifetime(
+        self,
+        stated: Mapping[str, str],
+        response: Mapping[str, str],
+        keep_seconds: float,
+        status: int,
+    ) -> int:
+        """Returns the freshness lifetime in µs (RFC 9111, 4.2.1), at most `keep_seconds`."""
+        longest = int(keep_seconds * SECOND)
+        if "no-cache" in stated:
             return 0
         for name in ("s-maxage", "max-age"):
-            if name in said:
-                told = whole(said[name])
-                return 0 if told is None else min(told * SECOND, most)
-        if "expires" in answer:
-            until, since = when(answer["expires"]), when(answer.get("date", ""))
-            return 0 if until is None or since is None else max(0, min(until - since, most))
-        return most if status == 200 else 0
+            if name in stated:
+                seconds = whole(stated[name])
+                return 0 if seconds is None else min(seconds * SECOND, longest)
+        if "expires" in response:
+            expires = parse_http_date(response["expires"])
+            date = parse_http_date(response.get("date", ""))
+            if expires is None or date is None:
+                return 0
+            return max(0, min(expires - date, longest))
+        return longest if status == 200 else 0
 
 
 def seconds_of(age: int | None) -> str | None:
-    """An age in µs as whole seconds for the Age header; None stays None."""
+    """Returns an age in µs as whole seconds for the Age header; None stays None."""
     return None if age is None else str(age // SECOND)
 
 
-def first_age(answer: dict, took: int, hop_age: int | None = None) -> int:
-    """The response's age on arrival, in µs: what it says of it plus the time the exchange took.
+def first_age(response: Mapping[str, str], took: int, hop_age: int | None = None) -> int:
+    """Returns the response's age on arrival, in µs: the stated age plus the exchange's duration.
+
+    This is `corrected_age_value` of RFC 9111, 4.2.3.
 
     Args:
-        answer: Its headers, lower-case names.
+        response: Its headers, lower-case names.
         took: Duration of the exchange, in µs.
-        hop_age: The age that a shield told, in µs; None to go by the Age header.
+        hop_age: The age that a shield stated, in µs; None to go by the Age header.
     """
-    told = (whole(answer.get("age")) or 0) * SECOND if hop_age is None else hop_age
-    return told + took
+    stated_age = (whole(response.get("age")) or 0) * SECOND if hop_age is None else hop_age
+    return stated_age + took
--- a/tests/proxy/cache/test_purge_by_tag.py
+++ b/tests/proxy/cache/test_purge_by_tag.py
@@ -63,17 +63,20 @@
             )
         held = {
             (tag, key)
-            for key, entries in self.cache.held.items()
+            for key, entries in self.cache.entries.items()
             for each in entries
             for tag in each.tags
         }
         self.assertEqual(
-            held, {(tag, key) for tag, keys in self.cache.tagged.items() for key in keys}
+            held,
+            {(tag, key) for tag, keys in self.cache.tag_index.keys_by_tag.items() for key in keys},
+        )
+        self.assertLessEqual(self.cache.size_bytes, 10_000)
+        for key in list(self.cache.entries):
+            self.cache._remove(key)
+        self.assertEqual(
+            (0, True), (self.cache.size_bytes, not any(self.cache.tag_index.keys_by_tag.values()))
         )
-        self.assertLessEqual(self.cache.size, 10_000)
-        for key in list(self.cache.held):
-            self.cache._drop(key)
-        self.assertEqual((0, True), (self.cache.size, not any(self.cache.tagged.values())))
 
     def test_a_stream_of_purges_leaves_nothing_older_than_them(self):
         chance, made = random.Random(3), []
@@ -89,7 +92,7 @@
                 )
             )
             self.cache.purge(replace(Tables(slot=slot + 1, epoch=1), purges=purges(*made)))
-            left = [held for entries in self.cache.held.values() for held in entries]
+            left = [held for entries in self.cache.entries.values() for held in entries]
             wrong = [
                 held.target
                 for held in left
--- a/tests/proxy/origin/test_exchange.py
+++ b/tests/proxy/origin/test_exchange.py
@@ -151,9 +151,9 @@
         proxy.clock.time += 2_000_000
         proxy.node_state.fresh_as_of = proxy.clock.time
         self.assertEqual(b"one", proxy.ask("GET", "/kept/1", wp_request="n1")[1])
-        (entry,) = proxy.cache.held[("h.example", "/kept/1")]
+        (entry,) = proxy.cache.entries[("h.example", "/kept/1")]
         self.assertEqual(("b",), entry.tags)
-        self.assertEqual({"b"}, set(proxy.cache.tagged))
+        self.assertEqual({"b"}, set(proxy.cache.tag_index.keys_by_tag))
 
     def test_bodies_where_none_may_be_end_the_connection(self):
         for method, status in (("HEAD", "200 OK"), ("GET", "204 No Content")):
@@ -251,7 +251,7 @@
                 for number, task in enumerate(tasks):
                     self.assertEqual(f"n{number}", task.get(timeout=5)[2]["wp-request"])
                 self.assertEqual(3, len(self.asked()))
-                self.assertEqual({}, dict(proxy.cache.held))
+                self.assertEqual({}, dict(proxy.cache.entries))
 
     def test_joined_reads_that_vary_by_a_header_get_their_own(self):
         def by_tongue(request):
