--- /dev/null
+++ b/src/willowpost/proxy/caller/connection_reader.py
@@ -0,0 +1,166 @@
+"""The bytes that a client sends on its connection."""
+
+import contextlib
+from collections.abc import Callable
+from typing import Any
+
+from gevent import socket
+
+from willowpost.common.errors import WillowpostError
+from willowpost.proxy.origin.pool import quiet
+
+RECEIVE_BYTES = 16 * 1024
+MAX_LINE_BYTES = 64 * 1024
+HEAD_END = b"\r\n\r\n"
+ARRIVED_TIMEOUT_SECONDS = 1.0  # to read what has arrived
+REQUEST_TIMEOUT = 408
+HEADERS_TOO_LARGE = 431
+
+
+class MalformedRequestError(WillowpostError):
+    """Bytes that are no valid request.
+
+    Invariant: the connection is closed after it, since nobody can tell where the next request
+    begins.
+
+    Attributes:
+        status: The status of the response.
+    """
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status = status
+
+
+class ConnectionEndedError(WillowpostError):
+    """The client sends no more, or its connection was idle for too long."""
+
+
+class IdleTimeoutError(ConnectionEndedError):
+    """The connection was idle for too long, and nothing of a request has been read."""
+
+
+def has_ended(connection: Any) -> bool:
+    """Whether the client's side of the connection has ended, with nothing unread before its end."""
+    try:
+        data: bytes = connection._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+    except BlockingIOError:
+        return False
+    except OSError:
+        return True
+    return data == b""
+
+
+class ConnectionReader:
+    """Reads a client's connection; file-like for gevent's chunked reader.
+
+    Attributes:
+        closed: Always False, as gevent's reader expects of a file.
+        buffer: What has been received and is not used yet.
+        has_ended: Whether the client sends no more.
+    """
+
+    closed = False
+
+    def __init__(self, connection: Any) -> None:
+        self.connection = connection
+        self.buffer = b""
+        self.has_ended = False
+
+    def read_ahead(self) -> None:
+        """Buffers what has arrived, without waiting.
+
+        Raises:
+            OSError: The connection broke.
+        """
+        with contextlib.suppress(BlockingIOError):
+            data: bytes = self.connection._sock.recv(RECEIVE_BYTES, socket.MSG_DONTWAIT)
+            self.buffer += data
+            self.has_ended = not data
+
+    def read_head(
+        self, max_bytes: int, idle_seconds_left: Callable[[], float], timeout_seconds: float
+    ) -> bytes:
+        """Returns a complete head without its empty line.
+
+        Args:
+            max_bytes: The longest head.
+            idle_seconds_left: Returns the seconds that the connection may stay idle; called again
+                when they are over, since the limit may have grown, or a response have been written,
+                meanwhile.
+            timeout_seconds: How long each further read may take once the head has begun.
+
+        Raises:
+            ConnectionEndedError: The client sends no more.
+            IdleTimeoutError: The connection was idle for too long.
+            MalformedRequestError: The head is too long, or took too long.
+        """
+        while not self._has_begun():
+            self._wait_for_first_byte(idle_seconds_left)
+        self.connection.settimeout(timeout_seconds)
+        while (end := self.buffer.find(HEAD_END)) < 0:
+            if len(self.buffer) > max_bytes:
+                raise MalformedRequestError(HEADERS_TOO_LARGE, "head over the limit")
+            self._receive_more_of_head()
+        if end > max_bytes:
+            raise MalformedRequestError(HEADERS_TOO_LARGE, "head over the limit")
+        head = self.buffer[:end]
+        self.buffer = self.buffer[end + len(HEAD_END) :]
+        return head
+
+    def read(self, size: int) -> bytes:
+        """Returns `size` bytes, or fewer at the end."""
+        while len(self.buffer) < size and self._receive():
+            pass
+        return self._take(size)
+
+    def readline(self, size: int = MAX_LINE_BYTES) -> bytes:
+        """Returns the bytes up to the next line end, or `size` bytes."""
+        while b"\n" not in self.buffer[:size] and len(self.buffer) < size and self._receive():
+            pass
+        return self._take(min(self.buffer.find(b"\n") + 1 or size, size))
+
+    def _take(self, size: int) -> bytes:
+        taken, self.buffer = self.buffer[:size], self.buffer[size:]
+        return taken
+
+    def _receive(self) -> bool:
+        if self.has_ended:
+            return False
+        data: bytes = self.connection.recv(RECEIVE_BYTES)
+        self.buffer += data
+        self.has_ended = not data
+        return bool(data)
+
+    def _has_begun(self) -> bool:
+        """Whether a byte of a head is there; empty lines before it are skipped (RFC 9112, 2.2)."""
+        self.buffer = self.buffer.lstrip(b"\r\n")
+        return bool(self.buffer)
+
+    def _wait_for_first_byte(self, idle_seconds_left: Callable[[], float]) -> None:
+        """Waits for the first byte of a head.
+
+        A task that runs late finds its time over and the request there as well: what has arrived is
+        read.
+        """
+        while (seconds_left := idle_seconds_left()) > 0:
+            self.connection.settimeout(seconds_left)
+            try:
+                self._receive_or_end()
+                return
+            except TimeoutError:
+                continue
+        if quiet(self.connection):
+            raise IdleTimeoutError
+        self.connection.settimeout(ARRIVED_TIMEOUT_SECONDS)
+        self._receive_or_end()
+
+    def _receive_or_end(self) -> None:
+        if not self._receive():
+            raise ConnectionEndedError
+
+    def _receive_more_of_head(self) -> None:
+        try:
+            self._receive_or_end()
+        except TimeoutError as problem:
+            raise MalformedRequestError(REQUEST_TIMEOUT, "the head took too long") from problem
--- a/src/willowpost/proxy/caller/lifetime.py
+++ b/src/willowpost/proxy/caller/lifetime.py
@@ -1,4 +1,4 @@
-"""The lifetime of a caller's request: all work for it ends when nobody waits for it any more."""
+"""The lifetime of a client's request: all work for it ends when nobody waits for it any more."""
 
 from __future__ import annotations
 
@@ -10,9 +10,8 @@
 
 from willowpost.common.clock import MILLI
 
-LOOK_EVERY = (
-    20 * MILLI
-)  # the caller's task reads a close within this, unless the process stood still
+# the client's task reads a close within this, unless the process stalled
+CHECK_INTERVAL_US = 20 * MILLI
 
 
 class CallerGone(GreenletExit):  # type: ignore[misc]  # gevent has no types here
@@ -22,64 +21,68 @@
     """
 
 
-def nobody_left() -> bool:
-    """The look of a lifetime whose caller cannot be seen to leave."""
+def never_disconnected() -> bool:
+    """The connection check of a lifetime whose client cannot be seen to disconnect."""
     return False
 
 
 class RequestLifetime:
     """Whether anybody still waits for a request, and the task that works for it.
 
-    A request whose fetch others have joined lives until the last of them has left. A request that
-    an origin may run only once is not interrupted while an origin has it, but is not sent again.
+    A request whose fetch others have joined lives until the last of them has disconnected. A
+    request that an origin may execute only once is not interrupted while an origin has it, but is
+    not sent again.
 
-    Invariants: once ended, a lifetime never lives again; after its end no task begins or sends.
+    Invariants: once ended, a lifetime never resumes; after its end no task begins or sends.
 
     Args:
-        look: Whether the caller has left, by its connection; asked before a byte leaves, since the
-            close may not have been read yet. It may wait.
-        now: Gives this process's clock, in µs.
-        wary: Whether to look even if the last look was a moment ago.
+        is_disconnected: Whether the client has disconnected, by its connection; called before a
+            byte is sent, since the close may not have been read yet. It may wait.
+        now: Returns this process's clock, in µs.
+        must_check: Whether to check the connection even if that was done a moment ago.
+
+    Attributes:
+        disconnected_at: When the client's close was detected, by this process's clock, in µs, or
+            None.
     """
 
     __slots__ = (
-        "_joined",
-        "_look",
-        "_looked_at",
+        "_checked_at",
+        "_is_disconnected",
+        "_is_interrupted",
+        "_is_protected",
+        "_joined_requests",
+        "_must_check",
         "_now",
-        "_protected",
         "_task",
-        "_told",
-        "_wary",
-        "left_at",
+        "disconnected_at",
     )
 
     def __init__(
         self,
-        look: Callable[[], bool] = nobody_left,
+        is_disconnected: Callable[[], bool] = never_disconnected,
         now: Callable[[], int] = lambda: 0,
-        wary: Callable[[], bool] = lambda: False,
+        must_check: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._look = look
-        self._wary = wary
+        self._is_disconnected = is_disconnected
+        self._must_check = must_check
         self._now = now
-        self._looked_at = now()
-        self._joined = 0
-        self._protected = False
+        self._checked_at = now()
+        self._joined_requests = 0
+        self._is_protected = False
+        self._is_interrupted = False
         self._task: Any = None
-        self._told = False
-        # when the caller's close was taken in, by this process's clock, in µs
-        self.left_at: int | None = None
+        self.disconnected_at: int | None = None
 
     @property
-    def ended(self) -> bool:
-        """Whether neither the caller nor anybody who joined waits any more."""
-        return self.left_at is not None and not self._joined
-
-    def leave(self) -> None:
-        """Takes in that the caller has left."""
-        if self.left_at is None:
-            self.left_at = self._now()
+    def has_ended(self) -> bool:
+        """Whether neither the client nor anybody who joined waits any more."""
+        return self.disconnected_at is not None and not self._joined_requests
+
+    def disconnect(self) -> None:
+        """Records that the client has disconnected, and interrupts the work if nobody waits."""
+        if self.disconnected_at is None:
+            self.disconnected_at = self._now()
             self._interrupt()
 
     def check(self) -> None:
@@ -88,8 +91,8 @@
         Raises:
             CallerGone: Nobody does.
         """
-        self.look()
-        if self.ended:
+        self._check_connection()
+        if self.has_ended:
             raise CallerGone
 
     @contextmanager
@@ -99,7 +102,7 @@
         Raises:
             CallerGone: The lifetime ended before or within the block.
         """
-        if self.ended:
+        if self.has_ended:
             raise CallerGone
         self._task = task
         try:
@@ -109,38 +112,40 @@
 
     @contextmanager
     def protected(self) -> Iterator[None]:
-        """Does not interrupt the block: an origin has a request that it may run only once."""
-        self._protected = True
+        """Does not interrupt the block: an origin has a request that it may execute only once."""
+        self._is_protected = True
         try:
             yield
         finally:
-            self._protected = False
+            self._is_protected = False
 
     @contextmanager
     def joined(self) -> Iterator[None]:
         """Keeps this request's work alive for another request that waits for its result."""
-        self._joined += 1
+        self._joined_requests += 1
         try:
             yield
         finally:
-            self._joined -= 1
+            self._joined_requests -= 1
             self._interrupt()
 
-    def look(self) -> None:
-        """Looks at the caller's connection, unless that was done a moment ago."""
-        if self.left_at is not None:
+    def _check_connection(self) -> None:
+        """Checks the client's connection, unless that was done a moment ago."""
+        if self.disconnected_at is not None:
             return
         now = self._now()
-        if now - self._looked_at >= LOOK_EVERY or self._wary():
-            self._looked_at = now
-            if self._look() and self.left_at is None:
-                self.left_at = now
+        if now - self._checked_at >= CHECK_INTERVAL_US or self._must_check():
+            self._checked_at = now
+            # the check may wait, and the close be read meanwhile
+            if self._is_disconnected() and self.disconnected_at is None:
+                self.disconnected_at = now
 
     def _interrupt(self) -> None:
-        if self.ended and self._task is not None and not self._protected and not self._told:
-            self._told = True
+        may_interrupt = not self._is_protected and not self._is_interrupted
+        if self.has_ended and self._task is not None and may_interrupt:
+            self._is_interrupted = True
             self._task.kill(CallerGone, block=False)
 
 
-# of a request without a caller's connection, as in the simulator
+# of a request without a client's connection, as in the simulator
 UNWATCHED = RequestLifetime()
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -1,6 +1,8 @@
-"""The proxy process `wpproxy`: serves callers' requests, as an edge or a shield."""
+"""The proxy process `wpproxy`: serves clients' requests, as an edge or a shield."""
 
 from collections import Counter
+from collections.abc import Callable
+from typing import Any
 
 import gevent
 
@@ -9,7 +11,7 @@
 from willowpost.proxy.admission.budget import BudgetSettings, RetryBudget
 from willowpost.proxy.caller.pacing import LinkPacer
 from willowpost.proxy.figures import ProxyFigures
-from willowpost.proxy.front import HEALTH, Front
+from willowpost.proxy.front import Front, FrontOptions
 from willowpost.proxy.handler import ProxyHandler
 from willowpost.proxy.node import ProxyNode
 from willowpost.proxy.origin.io import SocketIo
@@ -18,37 +20,40 @@
 from willowpost.proxy.outgoing import OutgoingRequests
 from willowpost.proxy.routing.carrier import Carrier
 from willowpost.proxy.routing.planner import RequestPlanner
+from willowpost.proxy.routing.snapshot import RoutingSnapshot
 from willowpost.proxy.routing.tries import Tries
 from willowpost.proxy.routing.words import Words
 from willowpost.shell.metrics import MetricsPage
+from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.runner import Runner
+from willowpost.shell.structured_log import StructuredLogger
 from willowpost.shell.web import WebServer, status_line
 from willowpost.state.entries import DaemonDescriptor
 
-TIDY_SECONDS = 0.05
-TELLS = 40
-LOOKS = 20  # idle connections that have run out are closed once in so many looks
+MAINTENANCE_INTERVAL_SECONDS = 0.05
+LOG_INTERVAL_ROUNDS = 40  # rejections are logged once in so many rounds
+EXPIRY_INTERVAL_ROUNDS = 20  # expired idle connections are closed once in so many rounds
+REJECTION_PREFIX = "why."  # of the counters of rejections by reason
 
 
 class HealthPage:
     """A WSGI application for a separate health port: any path gives the health status.
 
     Args:
-        front: The proxy whose health is told.
+        front: The proxy whose health is stated.
     """
 
     in_flight = 0
 
-    def __init__(self, front: Front):
-        self.front = front
+    def __init__(self, front: Front) -> None:
+        self._front = front
 
-    def __call__(self, environ, start_response):
+    def __call__(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
         """Answers one WSGI request with the health status."""
-        reply = self.front.own(HEALTH)
-        start_response(
-            status_line(reply.code), [*reply.headers, ("content-length", str(len(reply.body)))]
-        )
-        return [reply.body]
+        response = self._front.own()
+        headers = [*response.headers, ("content-length", str(len(response.body)))]
+        start_response(status_line(response.status), headers)
+        return [response.body]
 
 
 class ProxyDaemon:
@@ -56,39 +61,65 @@
 
     Args:
         place: The process's settings.
-        logs: Where log lines go.
-        words: Names of the headers shared with callers and origins.
+        logger: Where log lines go.
+        words: Names of the headers shared with clients and origins; None for the defaults.
     """
 
-    def __init__(self, place, logger, words: Words = Words()):
+    def __init__(
+        self, place: ProcessSettings, logger: StructuredLogger, words: Words | None = None
+    ) -> None:
         self.logger = logger
         self.runner = Runner(place.address, logger)
         self.clock = Clock()
-        card = DaemonDescriptor(
+        self.node = self._build_node(place)
+        self.node_state = self.node.node_state
+        self.stats: Counter[str] = Counter()
+        self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.log)
+        self.pool = ConnectionPool(self.clock)
+        self.pick = OriginPicker(
+            place.zone, reports=lambda: self.node_state.reports, regions=place.regions
+        )
+        self.front = self._build_front(place, words or Words())
+        self.node.shutdown.spans = place.spans()
+        self.node.shutdown.in_flight = lambda: self.front.in_flight
+        self.webs = self._build_servers(place)
+
+    def start(self) -> None:
+        """Starts the control node, the web servers and the maintenance of connections."""
+        self.runner.start(self.node)
+        for web in self.webs:
+            web.start()
+        gevent.spawn(self._maintain)
+
+    def stop(self) -> None:
+        """Shuts down gracefully; returns when the process may end.
+
+        The port is closed and connections take no new requests as soon as the shutdown says so.
+        """
+        self.runner.leave(self._close)
+
+    def _build_node(self, place: ProcessSettings) -> ProxyNode:
+        descriptor = DaemonDescriptor(
             f"{place.name}/proxy",
             "proxy",
             place.role,
             place.name,
             place.zone,
             place.address,
-            place.http,
+            _http_address(place),
             self.clock.wall(),
         )
-        self.node = ProxyNode(card, place.seeds, self.clock.wall, place.cache_bytes, place.regions)
-        self.node_state = self.node.node_state
-        self.node_state.max_stale_serving = place.serve_on_ms * MILLI
-        stats = Counter()
-        self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.log)
-        self.pool = ConnectionPool(self.clock)
+        node = ProxyNode(descriptor, place.seeds, self.clock.wall, place.cache_bytes, place.regions)
+        node.node_state.max_stale_serving = place.serve_on_ms * MILLI
+        return node
+
+    def _build_tries(self, place: ProcessSettings, words: Words) -> Tries:
         budget = RetryBudget(
             self.node_state.proxies,
             self.clock.now(),
-            BudgetSettings(place.extra_part, place.extra_slack, place.extra_window_ms * 1000),
-        )
-        self.pick = OriginPicker(
-            card.zone, reports=lambda: self.node_state.reports, regions=place.regions
+            BudgetSettings(place.extra_part, place.extra_slack, place.extra_window_ms * MILLI),
         )
-        tries = Tries(
+        return Tries(
             self.node_state,
             self.clock,
             Allowance(self.node_state),
@@ -96,77 +127,72 @@
             budget,
             self.pick,
             SocketIo(self.pool, self.runner.want),
-            stats,
+            self.stats,
             words,
             place.regions,
             self.outgoing,
         )
-        carrier = Carrier(self.node_state, self.node.cache, self.clock, tries, stats)
-        self.front = Front(
-            self.node_state,
-            self.clock,
-            RequestPlanner(self.node_state, self.node.cache, self.clock, place.regions),
-            carrier,
-            stats,
-            logger,
-            words,
-            place.health is None,
-            LinkPacer(place.link_mbps),
+
+    def _build_front(self, place: ProcessSettings, words: Words) -> Front:
+        tries = self._build_tries(place, words)
+        carrier = Carrier(self.node_state, self.node.cache, self.clock, tries, self.stats)
+        planner = RequestPlanner(self.node_state, self.node.cache, self.clock, place.regions)
+        options = FrontOptions(words, place.health is None, LinkPacer(place.link_mbps))
+        return Front(
+            self.node_state, self.clock, planner, carrier, self.stats, self.logger, options
         )
-        self.node.shutdown.spans = place.spans()
-        self.node.shutdown.in_flight = lambda: self.front.in_flight
-        self.webs = [WebServer(place.http, self.front, ProxyHandler)]
+
+    def _build_servers(self, place: ProcessSettings) -> list[WebServer]:
+        """Returns the web servers, the clients' first."""
+        servers = [WebServer(_http_address(place), self.front, ProxyHandler)]
         if place.health is not None:
-            self.webs.append(WebServer(place.health, HealthPage(self.front)))
+            servers.append(WebServer(place.health, HealthPage(self.front)))
         if place.metrics is not None:
-            figures = ProxyFigures(self.front, self.node_state, self.outgoing)
-            self.webs.append(WebServer(place.metrics, MetricsPage(figures)))
-
-    def start(self) -> None:
-        """Starts the control node, the web servers and the task that closes idle connections."""
-        self.runner.start(self.node)
-        for web in self.webs:
-            web.start()
-        gevent.spawn(self._tidy)
+            metrics = ProxyFigures(self.front, self.node_state, self.outgoing)
+            servers.append(WebServer(place.metrics, MetricsPage(metrics)))
+        return servers
 
-    def _tidy(self):
-        """Closes connections to owners out of force, looks at what is under way, and logs."""
-        snapshot, looked, told = None, 0, Counter()
+    def _maintain(self) -> None:
+        """Closes idle connections, checks the requests in flight, and logs rejections."""
+        snapshot, rounds, logged = None, 0, Counter[str]()
         while True:
-            looked += 1
-            self.front.standstill.ran()
-            self.outgoing.look()
-            if looked % TELLS == 0:
-                told = self._tell(told)
-            if self.node_state.snapshot is not snapshot or looked % LOOKS == 0:
+            rounds += 1
+            self.front.stall_detector.record_run()
+            self.outgoing.check_orphaned()
+            if rounds % LOG_INTERVAL_ROUNDS == 0:
+                logged = self._log_rejections(logged)
+            is_changed = self.node_state.snapshot is not snapshot
+            if is_changed or rounds % EXPIRY_INTERVAL_ROUNDS == 0:
                 snapshot = self.node_state.snapshot
-                self.pool.keep_only(
-                    snapshot.origins
-                    | {f"shield {name} {address}" for name, address in snapshot.shields.items()}
-                )
-                self.pick.keep_only(snapshot.origins | snapshot.shields.keys())
-            gevent.sleep(TIDY_SECONDS)
-
-    def _tell(self, told):
-        """Logs the rejections since `told`, by reason, and returns the new counts."""
-        now = Counter(
-            {name: count for name, count in self.front.stats.items() if name.startswith("why.")}
+                self._forget_removed(snapshot)
+            gevent.sleep(MAINTENANCE_INTERVAL_SECONDS)
+
+    def _forget_removed(self, snapshot: RoutingSnapshot) -> None:
+        """Forgets connections and measurements of all who are not in force."""
+        shields = {f"shield {name} {address}" for name, address in snapshot.shields.items()}
+        self.pool.keep_only(snapshot.origins | shields)
+        self.pick.keep_only(snapshot.origins | snapshot.shields.keys())
+
+    def _log_rejections(self, logged: Counter[str]) -> Counter[str]:
+        """Logs the rejections since `logged`, by reason, and returns the new counts."""
+        counts = Counter(
+            {
+                name.removeprefix(REJECTION_PREFIX): count
+                for name, count in self.front.stats.items()
+                if name.startswith(REJECTION_PREFIX)
+            }
         )
-        if now != told:
-            self.logger.log(
-                "front",
-                "reject",
-                **{name.removeprefix("why."): count for name, count in (now - told).items()},
-            )
-        return now
-
-    def stop(self) -> None:
-        """Leaves the fleet in a planned way; returns when the process may end.
+        if counts != logged:
+            self.logger.log("proxy", "requests rejected", reasons=dict(counts - logged))
+        return counts
 
-        The port is closed and connections take no new requests as soon as the leaver says so.
-        """
-        self.runner.leave(self._close)
-
-    def _close(self):
+    def _close(self) -> None:
         self.webs[0].server.close()
         self.front.finish()
+
+
+def _http_address(place: ProcessSettings) -> str:
+    """Returns where clients connect; the settings' checker makes sure that it is set."""
+    if place.http is None:
+        raise ValueError("a proxy needs an HTTP address")
+    return place.http
--- a/src/willowpost/proxy/figures.py
+++ b/src/willowpost/proxy/figures.py
@@ -1,60 +1,69 @@
-"""The figures of a proxy, as its metrics page tells them."""
+"""The metrics of a proxy, as its metrics page states them."""
 
 from collections.abc import Iterable
 from itertools import accumulate
 from math import inf
 
 from willowpost.common.clock import SECOND
+from willowpost.proxy.front import Front
 from willowpost.proxy.outgoing import AGE_BOUNDS_MS, OutgoingRequests
+from willowpost.proxy.proxy_state import ProxyState
 from willowpost.shell.metrics import Figure, HistogramFigure
 
-MILLIS = 1000
+MS_PER_SECOND = 1000
 
 
 class ProxyFigures:
-    """Reads the figures of one proxy.
+    """Collects the metrics of one proxy.
 
     Args:
-        front: The callers' side, with its counters.
+        front: The clients' side, with its counters.
         node_state: The proxy's shared state.
-        outgoing: The requests that have left.
+        outgoing: The requests that have been sent.
     """
 
-    def __init__(self, front, node_state, outgoing: OutgoingRequests):
-        self.front, self.node_state, self.outgoing = front, node_state, outgoing
+    def __init__(self, front: Front, node_state: ProxyState, outgoing: OutgoingRequests) -> None:
+        self._front, self._node_state, self._outgoing = front, node_state, outgoing
 
     def __call__(self) -> Iterable[Figure | HistogramFigure]:
-        """The figures as they are now."""
-        age = self.node_state.age(self.front.now())
-        yield Figure("events", "Events by name.", dict(self.front.stats), "event", total=True)
+        """Yields the metrics as they are now."""
+        yield from self._counters()
+        yield from self._gauges()
+        yield self._table_ages()
+
+    def _counters(self) -> Iterable[Figure]:
+        events: dict[str, float] = dict(self._front.stats)
+        yield Figure("events", "Events by name.", events, "event", total=True)
         yield Figure(
             "invariant_violations",
             "Requests that broke an invariant when or after they were sent.",
-            dict(self.outgoing.violations),
+            dict(self._outgoing.violations),
             "invariant",
             total=True,
         )
-        yield _single("requests_in_flight", "Callers' requests under way.", self.front.in_flight)
-        yield _single(
-            "exchanges", "Exchanges with origins and shields.", len(self.outgoing.under_way)
+
+    def _gauges(self) -> Iterable[Figure]:
+        yield _gauge("requests_in_flight", "Callers' requests under way.", self._front.in_flight)
+        yield _gauge(
+            "exchanges", "Exchanges with origins and shields.", len(self._outgoing.in_flight)
         )
-        yield _single(
+        yield _gauge(
             "exchanges_without_caller",
             "Exchanges under way for which nobody waits.",
-            self.outgoing.without_caller(),
+            self._outgoing.count_orphaned(),
         )
-        yield _single("log_slot", "The slot that the tables have.", self.node_state.tables.slot)
+        yield _gauge("log_slot", "The slot that the tables have.", self._node_state.tables.slot)
+        age = self._node_state.age(self._front.now())
         if age is not None:
-            yield _single("tables_age_seconds", "The age of the tables.", age / SECOND)
-        yield self._ages()
+            yield _gauge("tables_age_seconds", "The age of the tables.", age / SECOND)
 
-    def _ages(self):
-        ages = self.outgoing.ages
-        bounds = [bound / MILLIS for bound in AGE_BOUNDS_MS] + [inf]
+    def _table_ages(self) -> HistogramFigure:
+        ages = self._outgoing.ages
+        bounds = [bound / MS_PER_SECOND for bound in AGE_BOUNDS_MS] + [inf]
         counts = list(zip(bounds, accumulate(ages.counts), strict=True))
         text = "The age of the tables by which requests were sent."
         return HistogramFigure("sent_tables_age_seconds", text, counts, ages.total / SECOND)
 
 
-def _single(name, text, value):
+def _gauge(name: str, text: str, value: float) -> Figure:
     return Figure(name, text, {"": value})
--- a/src/willowpost/proxy/front.py
+++ b/src/willowpost/proxy/front.py
@@ -1,31 +1,57 @@
-"""The callers' side of a proxy: plans a request, carries out the plan and builds the reply."""
+"""The clients' side of a proxy: plans a request, carries out the plan and builds the response."""
 
-import json
-import re
+from collections import Counter
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Protocol
 
+from willowpost.common.clock import Clock
+from willowpost.configuration.routes import Route
 from willowpost.proxy.caller.lifetime import UNWATCHED, RequestLifetime
 from willowpost.proxy.caller.pacing import LinkPacer
-from willowpost.proxy.caller.reply import Reply
-from willowpost.proxy.caller.reply_maker import ReplyMaker
-from willowpost.proxy.caller.request import CallerRequest
-from willowpost.proxy.caller.standstill import StandstillWatch
+from willowpost.proxy.caller.request_head import ClientRequestHead
+from willowpost.proxy.caller.response import ClientResponse
+from willowpost.proxy.caller.response_builder import ResponseBuilder
+from willowpost.proxy.caller.stall_detector import StallDetector
+from willowpost.proxy.proxy_state import ProxyState
+from willowpost.proxy.request_parser import RequestParser, host_of, path_of
 from willowpost.proxy.routing.attempt import Rejected
 from willowpost.proxy.routing.carrier import Carrier
 from willowpost.proxy.routing.planner import DENIED_AGAIN_AFTER, RequestPlanner
-from willowpost.proxy.routing.request import ONCE, RejectPlan, Request, kind_of
+from willowpost.proxy.routing.request import ONCE, SAFE, RejectPlan, Request, kind_of
 from willowpost.proxy.routing.words import Words
+from willowpost.proxy.status_page import HEALTH, PATHS, ProxyStatusPage
+from willowpost.shell.structured_log import StructuredLogger
 
-HOST = re.compile(r"[A-Za-z0-9._-]{1,253}(:\d{1,5})?")
-BAD = re.compile(r"[^\x21-\x7e]")
-HEALTH = "/.wp/health"
-STATS = "/.wp/stats"
-READ_BODY_MOST = 64 * 1024
-MILLI = 1000
-LIMIT_CODES = (413, 431)
+MAX_READ_BODY_BYTES = 64 * 1024
+LIMIT_STATUSES = (413, 431)
+
+
+class ClientConnection(Protocol):
+    """A client's open connection."""
+
+    def end(self) -> None:
+        """Starts nothing new; an idle connection is closed at once."""
+
+
+@dataclass(frozen=True, slots=True)
+class FrontOptions:
+    """How a proxy speaks to its clients.
+
+    Attributes:
+        words: Names of the headers shared with clients and origins.
+        serves_status_paths: Whether the health and statistics paths are served on the clients'
+            port.
+        pacer: Paces large responses by the machine's link.
+    """
+
+    words: Words = field(default_factory=Words)
+    serves_status_paths: bool = True
+    pacer: LinkPacer = field(default_factory=LinkPacer)
 
 
 class Front:
-    """Answers callers' requests.
+    """Answers clients' requests.
 
     Args:
         node_state: The proxy's shared state.
@@ -33,210 +59,153 @@
         planner: Chooses what to do with a request.
         carrier: Carries out the plan.
         stats: Counters by name.
-        logs: Where log lines go.
-        words: Names of the headers shared with callers and origins.
-        reserved: Whether the health and statistics paths are served on the callers' port.
-        pacer: Paces large answers by the machine's link; None: they are not paced.
+        logger: Where log lines go.
+        options: How the proxy speaks to its clients; None for the defaults.
+
+    Attributes:
+        in_flight: Requests that have begun and whose responses have not been written.
+        stall_detector: Whether this process has stalled.
+        pacer: Paces large responses.
+        connections: The clients' open connections.
     """
 
     def __init__(
         self,
-        node_state,
-        clock,
+        node_state: ProxyState,
+        clock: Clock,
         planner: RequestPlanner,
         carrier: Carrier,
-        stats,
-        logger,
-        words: Words = Words(),
-        reserved: bool = True,
-        pacer: LinkPacer | None = None,
-    ):
-        self.node_state, self.clock, self.planner, self.carrier = (
-            node_state,
-            clock,
-            planner,
-            carrier,
-        )
-        self.stats, self.logger, self.words, self.reserved = stats, logger, words, reserved
-        self.replies = ReplyMaker(words, stats)
+        stats: Counter[str],
+        logger: StructuredLogger,
+        options: FrontOptions | None = None,
+    ) -> None:
+        options = options or FrontOptions()
+        self.node_state, self.clock = node_state, clock
+        self.planner, self.carrier = planner, carrier
+        self.stats, self.logger = stats, logger
         self.now = clock.now
         self.in_flight = 0
-        self.standstill = StandstillWatch()
-        self.pacer = pacer or LinkPacer()
-        self.finishing = False
-        self.connections: set = set()
-
-    def opened(self, handler) -> None:
-        """Registers a caller's connection."""
-        self.connections.add(handler)
-
-    def closed(self, handler) -> None:
-        """Forgets a caller's connection."""
-        self.connections.discard(handler)
+        self.stall_detector = StallDetector()
+        self.pacer = options.pacer
+        self.connections: set[ClientConnection] = set()
+        self._serves_status_paths = options.serves_status_paths
+        self._responses = ResponseBuilder(options.words, stats)
+        self._parser = RequestParser(node_state, options.words)
+        self._status_page = ProxyStatusPage(node_state, clock, stats, carrier.tries.outgoing)
+
+    def opened(self, connection: ClientConnection) -> None:
+        """Registers a client's connection."""
+        self.connections.add(connection)
+
+    def closed(self, connection: ClientConnection) -> None:
+        """Forgets a client's connection."""
+        self.connections.discard(connection)
 
     def finish(self) -> None:
         """Stops taking new requests on all connections."""
-        self.finishing = True
-        for handler in tuple(self.connections):
-            handler.end()
+        for connection in tuple(self.connections):
+            connection.end()
 
-    def leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether this proxy is draining."""
         return self.node_state.is_draining
 
-    def limits(self) -> dict:
-        """The limits of the configuration in force, by name."""
-        return self.node_state.snapshot.limits
+    def limits(self) -> Mapping[str, int]:
+        """Returns the limits of the configuration in force, by name."""
+        limits: Mapping[str, int] = self.node_state.snapshot.limits
+        return limits
 
-    def broke(self, problem) -> None:
-        """Counts and logs a reply that was cut off after its head had been sent."""
+    def record_aborted_response(self, problem: BaseException) -> None:
+        """Counts and logs a response that was cut off after its head had been sent."""
         self.stats["cut"] += 1
-        self.logger.log("front", "answer cut off", level="warning", problem=repr(problem))
+        self.logger.log("proxy", "response aborted", level="warning", problem=repr(problem))
 
-    def left(self, waiting: int) -> None:
-        """Counts requests whose caller has left before they were answered."""
-        self.stats["caller_left"] += waiting
+    def record_disconnects(self, requests: int) -> None:
+        """Counts requests whose client has disconnected before they were answered."""
+        self.stats["caller_left"] += requests
 
-    def repeatable(self, asked: CallerRequest) -> bool:
+    def repeatable(self, head: ClientRequestHead) -> bool:
         """Whether the request may be sent to an origin more than once."""
-        route = self._route(asked)
-        return route is None or kind_of(route, asked_as(asked)) != ONCE
-
-    def body_most(self, asked: CallerRequest) -> int:
-        """The largest body accepted with this request, in bytes."""
-        route = self._route(asked)
-        most = self.limits().get("body_bytes")
-        return (
-            most
-            if most is not None
-            else READ_BODY_MOST
-            if route is None or asked.method in ("GET", "HEAD")
-            else route.body_max
-        )
-
-    def _route(self, asked):
-        return self.node_state.snapshot.routes.find(host_of(asked), asked.target.partition("?")[0])
-
-    def malformed(self, code: int, reason: str) -> Reply:
-        """The reply to a request that cannot be parsed or is over a limit."""
-        return self.replies.rejected(self._over_limit(code, reason), False)
-
-    def _over_limit(self, code, reason):
-        """The refusal; a limit of the configuration refuses only if it is known to be current."""
-        if code in LIMIT_CODES and not self.node_state.denies(self.clock.now()):
-            return Rejected(503, "the limits known here may be old", DENIED_AGAIN_AFTER)
-        return Rejected(code, reason, 0)
+        route = self._route(head)
+        request = Request(head.method, "", "", head.headers)
+        return route is None or kind_of(route, request) != ONCE
+
+    def body_most(self, head: ClientRequestHead) -> int:
+        """Returns the largest body accepted with this request, in bytes."""
+        route = self._route(head)
+        limit = self.limits().get("body_bytes")
+        if limit is not None:
+            return limit
+        if route is None or head.method in SAFE:
+            return MAX_READ_BODY_BYTES
+        return int(route.body_max)
+
+    def malformed(self, status: int, reason: str) -> ClientResponse:
+        """Returns the response to a request that cannot be parsed or is over a limit."""
+        return self._responses.build_rejection(self._limit_rejection(status, reason), False)
 
     def respond(
         self,
-        asked: CallerRequest,
+        head: ClientRequestHead,
         body: bytes,
-        received: int,
+        received_at: int,
         lifetime: RequestLifetime = UNWATCHED,
-    ) -> Reply:
-        """The reply to a request; failures become error replies and are not raised.
+    ) -> ClientResponse:
+        """Returns the response to a request; failures become error responses and are not raised.
 
         Args:
-            asked: The request's head.
-            body: Its whole body.
-            received: When its head was complete, by this process's clock, in µs.
-            lifetime: Whether the caller still waits.
+            head: The request's head.
+            body: Its complete body.
+            received_at: When its head was complete, by this process's clock, in µs.
+            lifetime: Whether the client still waits.
 
         Raises:
-            CallerGone: Nobody waits for the reply any more.
+            CallerGone: Nobody waits for the response any more.
         """
-        if self.reserved and asked.target.partition("?")[0] in (HEALTH, STATS):
-            return self.own(asked.target.partition("?")[0])
-        write = asked.method not in ("GET", "HEAD")
+        if self._serves_status_paths and path_of(head) in PATHS:
+            return self.own(path_of(head))
+        states_outcome = head.method not in SAFE
         request = None
         try:
-            request = self._request(asked, received, lifetime)
-            if request is None:
-                raise Rejected(400, "malformed request", 0)
-            self.stats["requests"] += 1
-            plan = self.planner.plan(request)
-            if not isinstance(plan, RejectPlan) and len(body) > self.body_most(asked):
-                raise self._over_limit(413, "body over the limit")
-            return self.replies.answered(request, self.carrier.carry(request, plan, body))
-        except Rejected as reject:
-            return self.replies.rejected(reject, write, request)
+            request = self.parse(head, received_at, lifetime)
+            return self._carry_out(request, head, body)
+        except Rejected as rejection:
+            return self._responses.build_rejection(rejection, states_outcome, request)
+        # The last line of a request's task: whatever fails, the client gets a final response.
         except Exception as problem:
-            self.logger.log("front", "request broke down", level="error", problem=repr(problem))
-            return self.replies.rejected(Rejected(500, "broke down", 1, "unknown"), write, request)
-
-    def _request(self, asked, received, lifetime):
-        host, target = asked.headers.get("host", ""), asked.target
-        if target.startswith("http://"):
-            target = "/" + target[7:].partition("/")[2]
-        if (
-            not HOST.fullmatch(host)
-            or not target.startswith("/")
-            or target.startswith("//")
-            or BAD.search(target)
-        ):
-            return None
-        headers = asked.headers
-        hop = self.node_state.descriptor.role == "shield" and "wp-hop" in headers
-        left = headers.get(self.words.left, "")
-        return Request(
-            asked.method,
-            host.partition(":")[0].lower(),
-            target.partition("#")[0],
-            headers,
-            hop,
-            hop and "wp-extra" in headers,
-            headers.get(self.words.request),
-            int(left) * MILLI if left.isascii() and left.isdigit() else None,
-            received,
-            lifetime,
-        )
-
-    def own(self, path: str) -> Reply:
-        """The reply to the health or the statistics path.
-
-        The health path gives 503 unless the proxy holds a lease, is warmed up, is not draining and
-        its zone is not evacuated.
+            self.logger.log("proxy", "request failed", level="error", problem=repr(problem))
+            failure = Rejected(500, "broke down", 1, "unknown")
+            return self._responses.build_rejection(failure, states_outcome, request)
+
+    def parse(
+        self, head: ClientRequestHead, received_at: int, lifetime: RequestLifetime
+    ) -> Request:
+        """Returns the request of a head.
+
+        Raises:
+            Rejected: Its host or target is malformed.
         """
-        now = self.clock.now()
-        sound = (
-            self.node_state.may_serve(now)
-            and not self.node_state.is_draining
-            and self.node_state.emptied_at is None
-            and self.node_state.warmed_up(now)
-        )
-        age = self.node_state.age(now)
-        value = {
-            "sound": sound,
-            "draining": self.node_state.is_draining,
-            "emptied": self.node_state.emptied_at is not None,
-            "slot": self.node_state.tables.slot,
-            "version": self.node_state.snapshot.version,
-            "age_ms": None if age is None else age // 1000,
-        }
-        if path == STATS:
-            value = {
-                **value,
-                "stats": dict(self.stats),
-                "in_flight": self.in_flight,
-                "without_caller": self.carrier.tries.outgoing.without_caller(),
-                "shares": {
-                    name: round(grant.rate, 3) for name, grant in self.node_state.grants.items()
-                },
-            }
-        code = 200 if sound or path == STATS else 503
-        return Reply(
-            code,
-            [("content-type", "application/json")]
-            + ([] if code == 200 else [("retry-after", "2")]),
-            json.dumps(value).encode() + b"\n",
-        )
-
-
-def host_of(asked: CallerRequest) -> str:
-    """The request's host in lower case, without the port."""
-    return asked.headers.get("host", "").partition(":")[0].lower()
-
-
-def asked_as(asked: CallerRequest) -> Request:
-    """The request with its method and headers only, to find out its kind."""
-    return Request(asked.method, "", "", asked.headers)
+        request = self._parser.parse(head, received_at, lifetime)
+        if request is None:
+            raise Rejected(400, "malformed request", 0)
+        return request
+
+    def own(self, path: str = HEALTH) -> ClientResponse:
+        """Returns the response to the health or the statistics path."""
+        return self._status_page.respond(path, self.in_flight)
+
+    def _carry_out(self, request: Request, head: ClientRequestHead, body: bytes) -> ClientResponse:
+        self.stats["requests"] += 1
+        plan = self.planner.plan(request)
+        if not isinstance(plan, RejectPlan) and len(body) > self.body_most(head):
+            raise self._limit_rejection(413, "body over the limit")
+        return self._responses.build(request, self.carrier.carry(request, plan, body))
+
+    def _route(self, head: ClientRequestHead) -> Route | None:
+        return self.node_state.snapshot.routes.find(host_of(head), path_of(head))
+
+    def _limit_rejection(self, status: int, reason: str) -> Rejected:
+        """Returns the rejection; a configured limit rejects only if it is known to be current."""
+        if status in LIMIT_STATUSES and not self.node_state.denies(self.clock.now()):
+            return Rejected(503, "the limits known here may be old", DENIED_AGAIN_AFTER)
+        return Rejected(status, reason, 0)
--- a/src/willowpost/proxy/handler.py
+++ b/src/willowpost/proxy/handler.py
@@ -1,250 +1,196 @@
-"""One caller's connection: requests are read ahead, handled concurrently and answered in order."""
+"""One client's connection: requests are read ahead, handled concurrently and answered in order."""
 
 import contextlib
 import time
+from typing import Any
 
 import gevent
 from gevent import socket
 
-from willowpost.proxy.caller.answers import INTERIM, AnswerQueue, PendingAnswer
-from willowpost.proxy.caller.lifetime import RequestLifetime
-from willowpost.proxy.caller.request import CallerRequest
-from willowpost.proxy.caller.stream import (
-    BLOCK,
-    CallerStream,
-    Ending,
-    IdleEnding,
-    Malformed,
-    has_ended,
+from willowpost.proxy.caller.body_reader import read_body
+from willowpost.proxy.caller.connection_reader import (
+    RECEIVE_BYTES,
+    ConnectionEndedError,
+    ConnectionReader,
+    IdleTimeoutError,
+    MalformedRequestError,
 )
-from willowpost.shell.web import BodyTooLarge, Input, WSGIHandler
+from willowpost.proxy.caller.connection_watcher import ConnectionWatcher
+from willowpost.proxy.caller.lifetime import RequestLifetime
+from willowpost.proxy.caller.request_head import ClientRequestHead
+from willowpost.proxy.caller.response_queue import PendingResponse, ResponseQueue
+from willowpost.shell.web import BodyTooLarge, WSGIHandler
 
-HEAD_MOST = 64 * 1024
-AHEAD_MOST = 16
-AHEAD_BYTES_MOST = 64 * 1024  # read of a connection whose requests wait
-IDLE_SECONDS = 75.0
-HEAD_SECONDS = 30.0
-HEAD_MARGIN = 0.5
-LINGER_SECONDS = 1.0
-MILLIS = 1000
-READABLE = 1  # libev's EV_READ
-# seconds between the end of the caller's side and the first probe, and between further ones
-PROBE_PAUSES = (0.05, 0.1, 0.3, 1.0)
+MAX_HEAD_BYTES = 64 * 1024
+MAX_PIPELINED_REQUESTS = 16
+IDLE_TIMEOUT_MS = 75_000
+HEAD_TIMEOUT_MS = 30_000
+HEAD_MARGIN_SECONDS = 0.5
+LINGER_TIMEOUT_SECONDS = 1.0
+MS_PER_SECOND = 1000
 
 
-class ProxyHandler(WSGIHandler):
-    """Serves one connection; responses leave in the order of their requests.
+class ProxyHandler(WSGIHandler):  # type: ignore[misc]  # gevent has no types here
+    """Serves one connection; responses leave in the order of their requests (pipelining).
 
     A request that may not run twice, or has a body, is started only when all before it are
     answered, and none behind it is started before it is answered. Once a response has announced the
     connection's end, nothing read after it is started.
 
-    The connection is read at all times, whatever is being answered, so its end is taken in when it
-    arrives. When the caller has left, the lifetimes of all requests that wait for their answers
-    end. A caller that has only ended its sending side (FIN) may still read. It is told apart by an
-    interim answer (100): a connection that is closed resets it, one that is half closed takes it.
+    When the client has disconnected, the lifetimes of all requests that wait for their responses
+    end; `ConnectionWatcher` detects it.
     """
 
-    def __init__(self, sock, address, server, rfile=None):
+    def __init__(self, sock: Any, address: Any, server: Any, rfile: Any = None) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.socket, self.server, self.client_address = sock, server, address
         self.front = server.application
-        self.answers = AnswerQueue(sock, self.front)
-        self.stream = CallerStream(sock)
-        self.in_turn = False  # whether the last request runs alone
-        self.probes = 0  # sent since the caller's side ended
+        self.responses = ResponseQueue(sock, self.front)
+        self.reader = ConnectionReader(sock)
+        self.watcher = ConnectionWatcher(sock, self.reader, self.responses)
+        self.last_runs_alone = False  # whether the last request runs alone
 
-    def handle(self):
+    def handle(self) -> None:
         """Serves the connection until either side ends it."""
-        linger = True
+        must_linger = True
         self.front.opened(self)
         try:
-            linger = self._read_requests()
-            self._wait(0)
+            must_linger = self._read_requests()
+            self.watcher.wait(0)
         except OSError:
-            self.answers.abandon()
+            self.responses.abandon()
         finally:
-            self.answers.closing = True
-            if linger:
+            self.responses.is_closing = True
+            if must_linger:
                 self._linger()
             self.front.closed(self)
             self.socket.close()
 
+    def is_idle(self) -> bool:
+        """Whether no request of this connection waits for its response."""
+        return not self.responses.pending
+
+    def end(self) -> None:
+        """Starts nothing new; an idle connection is closed at once."""
+        self.responses.is_closing = True
+        if self.is_idle():
+            with contextlib.suppress(OSError):
+                self.socket.shutdown(socket.SHUT_RDWR)
+
     def _read_requests(self) -> bool:
         """Reads requests until there are no more; whether what still arrives is to be read."""
         try:
-            while not self.answers.closing and self._next_request():
+            while not self.responses.is_closing and self._next_request():
                 pass
-        except IdleEnding:
-            # every answer left long ago; a request that comes now must not be read and dropped
+        except IdleTimeoutError:
+            # every response left long ago; a request that comes now must not be read and dropped
             return False
-        except Ending:
+        except ConnectionEndedError:
             pass
         return True
 
-    def _linger(self):
+    def _linger(self) -> None:
         """Reads what still arrives before the socket is closed.
 
         Unread bytes would reset the connection, which may destroy the last response on its way.
         """
-        if self.answers.broken:
+        if self.responses.is_broken:
             return
-        try:
+        with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
-            self.socket.settimeout(LINGER_SECONDS)
-            while self.socket.recv(BLOCK):
+            self.socket.settimeout(LINGER_TIMEOUT_SECONDS)
+            while self.socket.recv(RECEIVE_BYTES):
                 pass
-        except OSError:
-            pass
-
-    def idle(self) -> bool:
-        """Whether no request of this connection waits for its answer."""
-        return not self.answers.pending
-
-    def end(self) -> None:
-        """Starts nothing new; an idle connection is closed at once."""
-        self.answers.closing = True
-        if self.idle():
-            with contextlib.suppress(OSError):
-                self.socket.shutdown(socket.SHUT_RDWR)
 
     def _next_request(self) -> bool:
+        """Reads a request and starts it; False if no other one is to be read."""
         try:
-            head = self._head()
-            if self.answers.closing:
+            data = self._read_head()
+            if self.responses.is_closing:
                 return False
-            asked = CallerRequest(head)
-        except Malformed as problem:
-            self._wait(0)
-            self._answer_malformed(problem)
+            head = ClientRequestHead(data)
+        except MalformedRequestError as problem:
+            self.watcher.wait(0)
+            self._reject_malformed(problem)
             return False
-        received = self.front.now()
-        pending = PendingAnswer(
-            asked.close, asked.method == "HEAD", asked.interim, self._lifetime()
+        received_at = self.front.now()
+        pending = PendingResponse(
+            self._lifetime(), head.closes_connection, head.method == "HEAD", head.accepts_interim
         )
-        in_turn = not asked.bodyless or not self.front.repeatable(asked)
-        self._wait(0 if in_turn or self.in_turn else AHEAD_MOST - 1)
-        if self.answers.closing:
+        self._wait_for_turn(head)
+        if self.responses.is_closing:
             return False
-        self.in_turn = in_turn
-        self.answers.add(pending)
-        if asked.bodyless:
-            gevent.spawn(self._answer, pending, asked, b"", received)
+        self._start(pending, head, received_at)
+        return not pending.closes_connection
+
+    def _wait_for_turn(self, head: ClientRequestHead) -> None:
+        """Waits until the request may be started.
+
+        Raises:
+            OSError: The client has disconnected meanwhile.
+        """
+        runs_alone = not head.bodyless or not self.front.repeatable(head)
+        max_pending = 0 if runs_alone or self.last_runs_alone else MAX_PIPELINED_REQUESTS - 1
+        self.watcher.wait(max_pending)
+        if not self.responses.is_closing:
+            self.last_runs_alone = runs_alone
+
+    def _start(self, pending: PendingResponse, head: ClientRequestHead, received_at: int) -> None:
+        self.responses.add(pending)
+        if head.bodyless:
+            gevent.spawn(self._respond, pending, head, b"", received_at)
         else:
-            self._answer_with_body(pending, asked)
-        return not pending.close
+            self._respond_with_body(pending, head)
 
-    def _lifetime(self):
+    def _lifetime(self) -> RequestLifetime:
         return RequestLifetime(
-            self._has_left,
+            self.watcher.is_disconnected,
             self.front.now,
-            lambda: self.stream.ended or self.front.standstill.recently(),
+            lambda: self.reader.has_ended or self.front.stall_detector.has_stalled_recently(),
         )
 
-    def _head(self):
+    def _read_head(self) -> bytes:
         limits = self.front.limits()
-        longest = self._idle_seconds()
-
-        def rest_left():
-            idle = max(longest, self._idle_seconds())
-            return idle if not self.idle() else self.answers.rested_since + idle - time.monotonic()
-
-        return self.stream.head(
-            limits.get("head_bytes") or HEAD_MOST,
-            rest_left,
-            (limits.get("head_ms") or HEAD_SECONDS * MILLIS) / MILLIS + HEAD_MARGIN,
+        timeout_at_begin = self._idle_timeout_seconds()
+
+        def idle_seconds_left() -> float:
+            timeout = max(timeout_at_begin, self._idle_timeout_seconds())
+            if not self.is_idle():
+                return timeout
+            return self.responses.idle_since_seconds + timeout - time.monotonic()
+
+        head_timeout_ms = limits.get("head_ms") or HEAD_TIMEOUT_MS
+        return self.reader.read_head(
+            limits.get("head_bytes") or MAX_HEAD_BYTES,
+            idle_seconds_left,
+            head_timeout_ms / MS_PER_SECOND + HEAD_MARGIN_SECONDS,
         )
 
-    def _idle_seconds(self):
-        """How long a connection may rest by the configuration in force now."""
-        return (self.front.limits().get("idle_ms") or IDLE_SECONDS * MILLIS) / MILLIS
+    def _idle_timeout_seconds(self) -> float:
+        """How long a connection may be idle by the configuration in force now."""
+        timeout_ms: float = self.front.limits().get("idle_ms") or IDLE_TIMEOUT_MS
+        return timeout_ms / MS_PER_SECOND
 
-    def _answer(self, pending, asked, body, received):
-        self.answers.run(
-            pending, lambda lifetime: self.front.respond(asked, body, received, lifetime)
+    def _respond(
+        self, pending: PendingResponse, head: ClientRequestHead, body: bytes, received_at: int
+    ) -> None:
+        self.responses.run(
+            pending, lambda lifetime: self.front.respond(head, body, received_at, lifetime)
         )
 
-    def _answer_malformed(self, problem):
-        pending = PendingAnswer(True, False, False, RequestLifetime())
-        self.answers.add(pending)
-        self.answers.resolve(pending, self.front.malformed(problem.code, str(problem)))
+    def _reject_malformed(self, problem: MalformedRequestError) -> None:
+        pending = PendingResponse(closes_connection=True)
+        self.responses.add(pending)
+        self.responses.resolve(pending, self.front.malformed(problem.status, str(problem)))
 
-    def _answer_with_body(self, pending, asked):
+    def _respond_with_body(self, pending: PendingResponse, head: ClientRequestHead) -> None:
         try:
-            body = self._body(asked, self.front.body_most(asked))
+            body = read_body(self.socket, self.reader, head, self.front.body_most(head))
         except BodyTooLarge:
-            pending.close = True
-            self.answers.resolve(pending, self.front.malformed(413, "body over the limit"))
+            pending.closes_connection = True
+            self.responses.resolve(pending, self.front.malformed(413, "body over the limit"))
         except (OSError, ValueError, EOFError):
-            pending.close = True
-            self.answers.resolve(pending, self.front.malformed(400, "the body ended short"))
+            pending.closes_connection = True
+            self.responses.resolve(pending, self.front.malformed(400, "the body ended short"))
         else:
-            gevent.spawn(self._answer, pending, asked, body, self.front.now())
-
-    def _body(self, asked, most):
-        if asked.length is not None and asked.length > most:
-            raise BodyTooLarge
-        self.socket.settimeout(HEAD_SECONDS)
-        if asked.headers.get("expect", "").lower() == "100-continue":
-            self.socket.sendall(INTERIM)
-        if asked.length is not None:
-            body = self.stream.read(asked.length)
-            if len(body) < asked.length:
-                raise EOFError
-            return body
-        body = Input(self.stream, None, chunked_input=True).read(most + 1)
-        if len(body) > most:
-            raise BodyTooLarge
-        return body
-
-    def _wait(self, most: int) -> None:
-        """Waits until at most `most` requests of this connection are not answered yet.
-
-        Raises:
-            OSError: The caller has left meanwhile.
-        """
-        while len(self.answers) > most:
-            if self.answers.broken:
-                raise ConnectionAbortedError
-            if self.stream.ended:
-                self._wait_for_reader()
-            else:
-                self._wait_for_arrival()
-
-    def _wait_for_reader(self):
-        """Until an answer has been written; finds out again and again whether anybody reads it."""
-        self.answers.changed.clear()
-        pause = PROBE_PAUSES[min(self.probes, len(PROBE_PAUSES) - 1)]
-        if not self.answers.changed.wait(pause):
-            self.probes += 1
-            self.answers.probe()
-
-    def _wait_for_arrival(self):
-        """Until an answer has been written or something has arrived, which is taken in."""
-        changed = self.answers.changed
-        changed.clear()
-        if len(self.stream.held) >= AHEAD_BYTES_MOST:
-            changed.wait()
-            return
-        arrival = gevent.get_hub().loop.io(self.socket.fileno(), READABLE)
-        arrival.start(changed.set)
-        try:
-            changed.wait()
-        finally:
-            arrival.stop()
-            arrival.close()
-        if not self.answers.broken:
-            self.stream.read_ahead()
-
-    def _has_left(self) -> bool:
-        """Whether the caller has left; takes a moment if its side of the connection has ended."""
-        answers = self.answers
-        if answers.broken or not (self.stream.ended or has_ended(self.socket)):
-            return answers.broken
-        try:
-            answers.probe()
-            gevent.sleep(PROBE_PAUSES[0])
-            answers.probe()
-        except OSError:
-            return True
-        return answers.broken
+            gevent.spawn(self._respond, pending, head, body, self.front.now())
--- a/src/willowpost/proxy/main.py
+++ b/src/willowpost/proxy/main.py
@@ -2,7 +2,9 @@
 
 import willowpost.shell.starting  # noqa: F401  before what takes long to import
 from willowpost.proxy.daemon import ProxyDaemon
+from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.program import DaemonCommand, run
+from willowpost.shell.structured_log import StructuredLogger
 
 
 class ProxyCommand(DaemonCommand):
@@ -19,8 +21,8 @@
   <info>curl http://127.0.0.1:8080/.wp/health</info>"""
     needs = ("http",)
 
-    def build(self, place, logger):
-        """The daemon for these settings."""
+    def build(self, place: ProcessSettings, logger: StructuredLogger) -> ProxyDaemon:
+        """Returns the daemon for these settings."""
         return ProxyDaemon(place, logger)
 
 
--- a/src/willowpost/proxy/outgoing.py
+++ b/src/willowpost/proxy/outgoing.py
@@ -15,9 +15,10 @@
 from willowpost.node.node_state import LEASE
 from willowpost.proxy.routing.request import Request
 
-# An exchange may take so long to end after its caller has left.
-WITHOUT_CALLER_MOST = 500 * MILLI
-LOOK_SLACK = 100 * MILLI  # between the last look and this check, on a machine without a processor
+# An exchange may take so long to end after its client has disconnected.
+MAX_ORPHANED_US = 500 * MILLI
+# between the last lease check and this check, on a machine without a processor
+LEASE_CHECK_SLACK_US = 100 * MILLI
 AGE_BOUNDS_MS = (100, 200, 300, 400, 600, 800, 1000, 1200, 1500, 2000, 3000, 5000, 10_000)
 
 
@@ -31,34 +32,39 @@
 
 
 class NodeView(Protocol):
-    """What is looked at of the proxy's shared state."""
+    """The part of the proxy's shared state that is checked."""
 
     def age(self, now: int) -> int | None:
-        """The µs since the tables were known to be complete."""
+        """Returns the µs since the tables were known to be complete."""
 
     def has_quorum_contact(self, now: int) -> bool:
-        """Whether a quorum of the voters was heard of a moment ago."""
+        """Whether a quorum of the voters was in contact a moment ago."""
 
 
 @dataclass(slots=True)
-class Outgoing:
-    """A request that has left and has not ended.
+class OutgoingRequest:
+    """A request that has been sent and has not ended.
 
     Attributes:
         request: The request.
         receiver: The origin or shield.
-        once: Whether an origin may run it only once, and so may finish it.
-        reported: Whether it has been counted as going on without its caller.
+        is_once_only: Whether an origin may execute it only once, and so may finish it.
+        is_reported: Whether it has been counted as going on without its client.
     """
 
     request: Request
     receiver: str
-    once: bool
-    reported: bool = False
+    is_once_only: bool
+    is_reported: bool = False
+
+    @property
+    def is_orphaned(self) -> bool:
+        """Whether nobody waits for it any more."""
+        return self.request.lifetime.has_ended
 
 
 class AgeHistogram:
-    """How old the tables were when requests left; the buckets are `AGE_BOUNDS_MS`.
+    """How old the tables were when requests were sent; the buckets are `AGE_BOUNDS_MS`.
 
     Attributes:
         counts: Requests by bucket, the last one for all beyond the bounds.
@@ -76,81 +82,93 @@
 
 
 class OutgoingRequests:
-    """Follows requests from the last look before they are sent to their end.
+    """Follows requests from the last check before they are sent to their end.
 
     Args:
         node_state: The proxy's shared state.
-        now: This process's clock, in µs.
-        say: Logs a line: part, sentence and fields; None for no log.
+        now: Returns this process's clock, in µs.
+        log: Logs a line: component, event and fields; None for no log.
+
+    Attributes:
+        in_flight: The requests that have been sent and have not ended, by number.
+        violations: How often each invariant was violated, by its name.
+        ages: How old the tables were when requests were sent.
     """
 
     def __init__(
         self,
         node_state: NodeView,
         now: Callable[[], int],
-        say: Callable[..., None] | None = None,
+        log: Callable[..., None] | None = None,
     ) -> None:
-        self.node_state, self.now, self.say = node_state, now, say
-        self.under_way: dict[int, Outgoing] = {}
-        self.violations: Counter[str] = Counter({held.value: 0 for held in Invariant})
+        self.node_state, self.now, self.log = node_state, now, log
+        self.in_flight: dict[int, OutgoingRequest] = {}
+        self.violations: Counter[str] = Counter({invariant.value: 0 for invariant in Invariant})
         self.ages = AgeHistogram()
-        self.number = 0
+        self._last_number = 0
 
     @contextmanager
     def sending(
         self, request: Request, receiver: str, once: bool, in_force: bool
     ) -> Iterator[None]:
-        """Checks a request right before its first byte leaves, and follows it in the block."""
+        """Checks a request right before its first byte is sent, and follows it in the block."""
         self._check(request, receiver, in_force)
-        self.number += 1
-        number = self.number
-        self.under_way[number] = Outgoing(request, receiver, once)
+        self._last_number += 1
+        number = self._last_number
+        self.in_flight[number] = OutgoingRequest(request, receiver, once)
         try:
             yield
         finally:
-            del self.under_way[number]
+            del self.in_flight[number]
 
-    def look(self) -> None:
+    def check_orphaned(self) -> None:
         """Counts the exchanges that go on although nobody waits for them any more."""
         now = self.now()
-        for outgoing in self.under_way.values():
-            left_at = outgoing.request.lifetime.left_at
+        for outgoing in self.in_flight.values():
+            disconnected_at = outgoing.request.lifetime.disconnected_at
             if (
-                outgoing.request.lifetime.ended
-                and left_at is not None
-                and now - left_at > WITHOUT_CALLER_MOST
-                and not outgoing.once
-                and not outgoing.reported
+                outgoing.is_orphaned
+                and disconnected_at is not None
+                and now - disconnected_at > MAX_ORPHANED_US
+                and not outgoing.is_once_only
+                and not outgoing.is_reported
             ):
-                outgoing.reported = True
-                self._violated(
-                    Invariant.ENDS_WITH_CALLER, outgoing.request, outgoing.receiver, now - left_at
+                outgoing.is_reported = True
+                self._record_violation(
+                    Invariant.ENDS_WITH_CALLER,
+                    outgoing.request,
+                    outgoing.receiver,
+                    now - disconnected_at,
                 )
 
-    def without_caller(self) -> int:
-        """How many requests are under way for which nobody waits."""
-        return sum(held.request.lifetime.ended for held in self.under_way.values())
+    def count_orphaned(self) -> int:
+        """Returns how many requests are in flight for which nobody waits."""
+        return sum(outgoing.is_orphaned for outgoing in self.in_flight.values())
 
     def _check(self, request: Request, receiver: str, in_force: bool) -> None:
         now = self.now()
         age = self.node_state.age(now)
         if age is not None:
             self.ages.add(age)
-        if (age is None or age > LEASE + LOOK_SLACK) and self.node_state.has_quorum_contact(now):
-            self._violated(Invariant.TABLES_CURRENT, request, receiver, age or 0)
-        if request.lifetime.ended:
-            left_at = request.lifetime.left_at or now
-            self._violated(Invariant.CALLER_WAITS, request, receiver, now - left_at)
+        is_stale = age is None or age > LEASE + LEASE_CHECK_SLACK_US
+        if is_stale and self.node_state.has_quorum_contact(now):
+            self._record_violation(Invariant.TABLES_CURRENT, request, receiver, age or 0)
+        if request.lifetime.has_ended:
+            disconnected_at = request.lifetime.disconnected_at or now
+            self._record_violation(Invariant.CALLER_WAITS, request, receiver, now - disconnected_at)
         if not in_force:
-            self._violated(Invariant.RECEIVER_IN_FORCE, request, receiver, age or 0)
+            self._record_violation(Invariant.RECEIVER_IN_FORCE, request, receiver, age or 0)
 
-    def _violated(self, invariant: Invariant, request: Request, receiver: str, age: int) -> None:
+    def _record_violation(
+        self, invariant: Invariant, request: Request, receiver: str, age: int
+    ) -> None:
         self.violations[invariant.value] += 1
-        if self.say is not None:
-            self.say(
-                "invariant",
-                invariant.value,
+        if self.log is not None:
+            self.log(
+                "proxy",
+                "invariant violated",
                 level="error",
+                invariant=invariant.value,
                 request=request.name,
                 receiver=receiver,
                 age_ms=age // MILLI,
--- /dev/null
+++ b/src/willowpost/proxy/request_parser.py
@@ -0,0 +1,82 @@
+"""Makes a Request of the head that a client sent."""
+
+import re
+
+from willowpost.common.clock import MILLI
+from willowpost.proxy.caller.lifetime import RequestLifetime
+from willowpost.proxy.caller.request_head import ClientRequestHead
+from willowpost.proxy.proxy_state import ProxyState
+from willowpost.proxy.routing.request import Request
+from willowpost.proxy.routing.words import Words
+
+HOST = re.compile(r"[A-Za-z0-9._-]{1,253}(:\d{1,5})?")
+INVALID_TARGET_CHARACTER = re.compile(r"[^\x21-\x7e]")
+ABSOLUTE_FORM = "http://"
+
+
+def host_of(head: ClientRequestHead) -> str:
+    """Returns the request's host in lower case, without the port."""
+    return head.headers.get("host", "").partition(":")[0].lower()
+
+
+def path_of(head: ClientRequestHead) -> str:
+    """Returns the request's target without its query."""
+    return head.target.partition("?")[0]
+
+
+class RequestParser:
+    """Makes requests of heads.
+
+    Args:
+        node_state: The proxy's shared state.
+        words: Names of the headers shared with clients and origins.
+    """
+
+    def __init__(self, node_state: ProxyState, words: Words) -> None:
+        self._node_state, self._words = node_state, words
+
+    def parse(
+        self, head: ClientRequestHead, received_at: int, lifetime: RequestLifetime
+    ) -> Request | None:
+        """Returns the request, or None if its host or target is malformed.
+
+        Args:
+            head: The request's head.
+            received_at: When it was complete, by this process's clock, in µs.
+            lifetime: Whether the client still waits.
+        """
+        headers = head.headers
+        target = _origin_form(head.target)
+        if not HOST.fullmatch(headers.get("host", "")) or not _is_valid_target(target):
+            return None
+        is_from_edge = self._node_state.descriptor.role == "shield" and "wp-hop" in headers
+        return Request(
+            head.method,
+            host_of(head),
+            target.partition("#")[0],
+            headers,
+            is_from_edge,
+            is_from_edge and "wp-extra" in headers,
+            headers.get(self._words.request),
+            self._time_left(headers),
+            received_at,
+            lifetime,
+        )
+
+    def _time_left(self, headers: dict[str, str]) -> int | None:
+        """Returns how long the client waits, in µs, or None if it did not say."""
+        milliseconds = headers.get(self._words.left, "")
+        is_number = milliseconds.isascii() and milliseconds.isdigit()
+        return int(milliseconds) * MILLI if is_number else None
+
+
+def _origin_form(target: str) -> str:
+    """Returns the origin form of a target in absolute form (RFC 9112, 3.2)."""
+    if not target.startswith(ABSOLUTE_FORM):
+        return target
+    return "/" + target.removeprefix(ABSOLUTE_FORM).partition("/")[2]
+
+
+def _is_valid_target(target: str) -> bool:
+    is_path = target.startswith("/") and not target.startswith("//")
+    return is_path and not INVALID_TARGET_CHARACTER.search(target)
--- a/tests/proxy/caller/test_caller_disconnects.py
+++ b/tests/proxy/caller/test_caller_disconnects.py
@@ -14,7 +14,7 @@
 
 from tests.support.entries import daemon_entry
 from tests.support.served import ScriptedOrigin, ServedProxy, answer
-from willowpost.proxy.caller.standstill import STANDSTILL_SECONDS
+from willowpost.proxy.caller.stall_detector import STALL_SECONDS
 from willowpost.proxy.routing.snapshot import RoutingSnapshot
 from willowpost.state.tables import Tables
 
@@ -104,8 +104,8 @@
 
     def stand_still(self):
         """The process does not run for a while; what arrives waits in the kernel."""
-        self.proxy.front.standstill.ran()
-        late = time.monotonic() + 1.5 * STANDSTILL_SECONDS
+        self.proxy.front.stall_detector.record_run()
+        late = time.monotonic() + 1.5 * STALL_SECONDS
         while time.monotonic() < late:
             pass
 
--- a/tests/proxy/origin/test_exchange_fuzz.py
+++ b/tests/proxy/origin/test_exchange_fuzz.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from tests.support.scripted_proxy import Scripted, echoed, head, sealed
-from willowpost.proxy.caller.answers import INTERIM as INTERIM_ANSWER
+from willowpost.proxy.caller.response_queue import INTERIM_RESPONSE as INTERIM_ANSWER
 from willowpost.proxy.origin.answer import Echo
 from willowpost.proxy.origin.exchange import Exchange
 from willowpost.proxy.origin.failure import ExchangeFailure
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -55,13 +55,13 @@
         state, origin = self.proxy.node_state, ScriptedOrigin(answer(b"ok"))
         outgoing = self.proxy.front.carrier.tries.outgoing
         lines = []
-        outgoing.say = lambda *words, **fields: lines.append((words, fields))
+        outgoing.log = lambda *words, **fields: lines.append((words, fields))
         self.proxy.set_origins([origin])
         state.quorum_contact_at = self.proxy.clock.now()
         state.fresh_as_of = self.proxy.clock.now() - 2_000_000
-        request = self.proxy.front._request(ScriptedCall(), 0, RequestLifetime())
+        request = self.proxy.front.parse(ScriptedCall(), 0, RequestLifetime())
         with outgoing.sending(request, "somebody", False, False):
-            self.assertEqual(1, len(outgoing.under_way))
+            self.assertEqual(1, len(outgoing.in_flight))
         broken = {name for name, count in outgoing.violations.items() if count}
         self.assertEqual(
             {Invariant.RECEIVER_IN_FORCE.value, Invariant.TABLES_CURRENT.value}, broken
