--- a/src/willowpost/proxy/caller/request_head.py
+++ b/src/willowpost/proxy/caller/request_head.py
@@ -62,7 +62,7 @@
         self.closes_connection = "close" in connection or not is_kept_alive
 
     @property
-    def bodyless(self) -> bool:
+    def has_no_body(self) -> bool:
         """Whether no byte of a body follows."""
         return not self.is_chunked and not self.length
 
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -50,7 +50,7 @@
 
     def __call__(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
         """Answers one WSGI request with the health status."""
-        response = self._front.own()
+        response = self._front.status_response()
         headers = [*response.headers, ("content-length", str(len(response.body)))]
         start_response(status_line(response.status), headers)
         return [response.body]
@@ -60,29 +60,29 @@
     """Builds a proxy from its settings and runs it: control node, web servers, connections.
 
     Args:
-        place: The process's settings.
+        settings: The process's settings.
         logger: Where log lines go.
         words: Names of the headers shared with clients and origins; None for the defaults.
     """
 
     def __init__(
-        self, place: ProcessSettings, logger: StructuredLogger, words: Words | None = None
+        self, settings: ProcessSettings, logger: StructuredLogger, words: Words | None = None
     ) -> None:
         self.logger = logger
-        self.runner = Runner(place.address, logger)
+        self.runner = Runner(settings.address, logger)
         self.clock = Clock()
-        self.node = self._build_node(place)
+        self.node = self._build_node(settings)
         self.node_state = self.node.node_state
         self.stats: Counter[str] = Counter()
         self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.log)
         self.pool = ConnectionPool(self.clock)
         self.pick = OriginPicker(
-            place.zone, reports=lambda: self.node_state.reports, regions=place.regions
+            settings.zone, reports=lambda: self.node_state.reports, regions=settings.regions
         )
-        self.front = self._build_front(place, words or Words())
-        self.node.shutdown.spans = place.spans()
+        self.front = self._build_front(settings, words or Words())
+        self.node.shutdown.spans = settings.spans()
         self.node.shutdown.in_flight = lambda: self.front.in_flight
-        self.webs = self._build_servers(place)
+        self.webs = self._build_servers(settings)
 
     def start(self) -> None:
         """Starts the control node, the web servers and the maintenance of connections."""
@@ -98,26 +98,30 @@
         """
         self.runner.leave(self._close)
 
-    def _build_node(self, place: ProcessSettings) -> ProxyNode:
+    def _build_node(self, settings: ProcessSettings) -> ProxyNode:
         descriptor = DaemonDescriptor(
-            f"{place.name}/proxy",
+            f"{settings.name}/proxy",
             "proxy",
-            place.role,
-            place.name,
-            place.zone,
-            place.address,
-            _http_address(place),
+            settings.role,
+            settings.name,
+            settings.zone,
+            settings.address,
+            _http_address(settings),
             self.clock.wall(),
         )
-        node = ProxyNode(descriptor, place.seeds, self.clock.wall, place.cache_bytes, place.regions)
-        node.node_state.max_stale_serving = place.serve_on_ms * MILLI
+        node = ProxyNode(
+            descriptor, settings.seeds, self.clock.wall, settings.cache_bytes, settings.regions
+        )
+        node.node_state.max_stale_serving = settings.serve_on_ms * MILLI
         return node
 
-    def _build_tries(self, place: ProcessSettings, words: Words) -> Tries:
+    def _build_tries(self, settings: ProcessSettings, words: Words) -> Tries:
         budget = RetryBudget(
             self.node_state.proxies,
             self.clock.now(),
-            BudgetSettings(place.extra_part, place.extra_slack, place.extra_window_ms * MILLI),
+            BudgetSettings(
+                settings.extra_part, settings.extra_slack, settings.extra_window_ms * MILLI
+            ),
         )
         return Tries(
             self.node_state,
@@ -129,27 +133,27 @@
             SocketIo(self.pool, self.runner.want),
             self.stats,
             words,
-            place.regions,
+            settings.regions,
             self.outgoing,
         )
 
-    def _build_front(self, place: ProcessSettings, words: Words) -> Front:
-        tries = self._build_tries(place, words)
+    def _build_front(self, settings: ProcessSettings, words: Words) -> Front:
+        tries = self._build_tries(settings, words)
         carrier = Carrier(self.node_state, self.node.cache, self.clock, tries, self.stats)
-        planner = RequestPlanner(self.node_state, self.node.cache, self.clock, place.regions)
-        options = FrontOptions(words, place.health is None, LinkPacer(place.link_mbps))
+        planner = RequestPlanner(self.node_state, self.node.cache, self.clock, settings.regions)
+        options = FrontOptions(words, settings.health is None, LinkPacer(settings.link_mbps))
         return Front(
             self.node_state, self.clock, planner, carrier, self.stats, self.logger, options
         )
 
-    def _build_servers(self, place: ProcessSettings) -> list[WebServer]:
+    def _build_servers(self, settings: ProcessSettings) -> list[WebServer]:
         """Returns the web servers, the clients' first."""
-        servers = [WebServer(_http_address(place), self.front, ProxyHandler)]
-        if place.health is not None:
-            servers.append(WebServer(place.health, HealthPage(self.front)))
-        if place.metrics is not None:
+        servers = [WebServer(_http_address(settings), self.front, ProxyHandler)]
+        if settings.health is not None:
+            servers.append(WebServer(settings.health, HealthPage(self.front)))
+        if settings.metrics is not None:
             metrics = ProxyFigures(self.front, self.node_state, self.outgoing)
-            servers.append(WebServer(place.metrics, MetricsPage(metrics)))
+            servers.append(WebServer(settings.metrics, MetricsPage(metrics)))
         return servers
 
     def _maintain(self) -> None:
@@ -188,11 +192,11 @@
 
     def _close(self) -> None:
         self.webs[0].server.close()
-        self.front.finish()
+        self.front.end_connections()
 
 
-def _http_address(place: ProcessSettings) -> str:
+def _http_address(settings: ProcessSettings) -> str:
     """Returns where clients connect; the settings' checker makes sure that it is set."""
-    if place.http is None:
+    if settings.http is None:
         raise ValueError("a proxy needs an HTTP address")
-    return place.http
+    return settings.http
--- a/src/willowpost/proxy/front.py
+++ b/src/willowpost/proxy/front.py
@@ -93,15 +93,15 @@
         self._parser = RequestParser(node_state, options.words)
         self._status_page = ProxyStatusPage(node_state, clock, stats, carrier.tries.outgoing)
 
-    def opened(self, connection: ClientConnection) -> None:
+    def register(self, connection: ClientConnection) -> None:
         """Registers a client's connection."""
         self.connections.add(connection)
 
-    def closed(self, connection: ClientConnection) -> None:
+    def unregister(self, connection: ClientConnection) -> None:
         """Forgets a client's connection."""
         self.connections.discard(connection)
 
-    def finish(self) -> None:
+    def end_connections(self) -> None:
         """Stops taking new requests on all connections."""
         for connection in tuple(self.connections):
             connection.end()
@@ -124,13 +124,13 @@
         """Counts requests whose client has disconnected before they were answered."""
         self.stats["caller_left"] += requests
 
-    def repeatable(self, head: ClientRequestHead) -> bool:
+    def is_repeatable(self, head: ClientRequestHead) -> bool:
         """Whether the request may be sent to an origin more than once."""
         route = self._route(head)
         request = Request(head.method, "", "", head.headers)
         return route is None or kind_of(route, request) != ONCE
 
-    def body_most(self, head: ClientRequestHead) -> int:
+    def max_body_bytes(self, head: ClientRequestHead) -> int:
         """Returns the largest body accepted with this request, in bytes."""
         route = self._route(head)
         limit = self.limits().get("body_bytes")
@@ -140,7 +140,7 @@
             return MAX_READ_BODY_BYTES
         return int(route.body_max)
 
-    def malformed(self, status: int, reason: str) -> ClientResponse:
+    def reject_malformed(self, status: int, reason: str) -> ClientResponse:
         """Returns the response to a request that cannot be parsed or is over a limit."""
         return self._responses.build_rejection(self._limit_rejection(status, reason), False)
 
@@ -163,7 +163,7 @@
             CallerGone: Nobody waits for the response any more.
         """
         if self._serves_status_paths and path_of(head) in PATHS:
-            return self.own(path_of(head))
+            return self.status_response(path_of(head))
         states_outcome = head.method not in SAFE
         request = None
         try:
@@ -190,14 +190,14 @@
             raise Rejected(400, "malformed request", 0)
         return request
 
-    def own(self, path: str = HEALTH) -> ClientResponse:
+    def status_response(self, path: str = HEALTH) -> ClientResponse:
         """Returns the response to the health or the statistics path."""
         return self._status_page.respond(path, self.in_flight)
 
     def _carry_out(self, request: Request, head: ClientRequestHead, body: bytes) -> ClientResponse:
         self.stats["requests"] += 1
         plan = self.planner.plan(request)
-        if not isinstance(plan, RejectPlan) and len(body) > self.body_most(head):
+        if not isinstance(plan, RejectPlan) and len(body) > self.max_body_bytes(head):
             raise self._limit_rejection(413, "body over the limit")
         return self._responses.build(request, self.carrier.carry(request, plan, body))
 
--- a/src/willowpost/proxy/handler.py
+++ b/src/willowpost/proxy/handler.py
@@ -53,7 +53,7 @@
     def handle(self) -> None:
         """Serves the connection until either side ends it."""
         must_linger = True
-        self.front.opened(self)
+        self.front.register(self)
         try:
             must_linger = self._read_requests()
             self.watcher.wait(0)
@@ -63,7 +63,7 @@
             self.responses.is_closing = True
             if must_linger:
                 self._linger()
-            self.front.closed(self)
+            self.front.unregister(self)
             self.socket.close()
 
     def is_idle(self) -> bool:
@@ -129,7 +129,7 @@
         Raises:
             OSError: The client has disconnected meanwhile.
         """
-        runs_alone = not head.bodyless or not self.front.repeatable(head)
+        runs_alone = not head.has_no_body or not self.front.is_repeatable(head)
         max_pending = 0 if runs_alone or self.last_runs_alone else MAX_PIPELINED_REQUESTS - 1
         self.watcher.wait(max_pending)
         if not self.responses.is_closing:
@@ -137,7 +137,7 @@
 
     def _start(self, pending: PendingResponse, head: ClientRequestHead, received_at: int) -> None:
         self.responses.add(pending)
-        if head.bodyless:
+        if head.has_no_body:
             gevent.spawn(self._respond, pending, head, b"", received_at)
         else:
             self._respond_with_body(pending, head)
@@ -181,16 +181,18 @@
     def _reject_malformed(self, problem: MalformedRequestError) -> None:
         pending = PendingResponse(closes_connection=True)
         self.responses.add(pending)
-        self.responses.resolve(pending, self.front.malformed(problem.status, str(problem)))
+        self.responses.resolve(pending, self.front.reject_malformed(problem.status, str(problem)))
 
     def _respond_with_body(self, pending: PendingResponse, head: ClientRequestHead) -> None:
         try:
-            body = read_body(self.socket, self.reader, head, self.front.body_most(head))
+            body = read_body(self.socket, self.reader, head, self.front.max_body_bytes(head))
         except BodyTooLarge:
             pending.closes_connection = True
-            self.responses.resolve(pending, self.front.malformed(413, "body over the limit"))
+            self.responses.resolve(pending, self.front.reject_malformed(413, "body over the limit"))
         except (OSError, ValueError, EOFError):
             pending.closes_connection = True
-            self.responses.resolve(pending, self.front.malformed(400, "the body ended short"))
+            self.responses.resolve(
+                pending, self.front.reject_malformed(400, "the body ended short")
+            )
         else:
             gevent.spawn(self._respond, pending, head, body, self.front.now())
--- a/src/willowpost/proxy/main.py
+++ b/src/willowpost/proxy/main.py
@@ -21,9 +21,9 @@
   <info>curl http://127.0.0.1:8080/.wp/health</info>"""
     needs = ("http",)
 
-    def build(self, place: ProcessSettings, logger: StructuredLogger) -> ProxyDaemon:
+    def build(self, settings: ProcessSettings, logger: StructuredLogger) -> ProxyDaemon:
         """Returns the daemon for these settings."""
-        return ProxyDaemon(place, logger)
+        return ProxyDaemon(settings, logger)
 
 
 def main() -> None:
--- a/src/willowpost/proxy/origin/io.py
+++ b/src/willowpost/proxy/origin/io.py
@@ -47,7 +47,7 @@
         """Whether a request to this owner may have a connection."""
         return (
             max_connections is None
-            or self.pool.open(owner) < max_connections
+            or self.pool.count_open(owner) < max_connections
             or bool(self.pool.idle.get(owner))
         )
 
@@ -72,7 +72,7 @@
             ExchangeFailure: No connection could be made; nothing was sent.
         """
         connection = self.pool.take(owner) if may_reuse else None
-        is_full = max_connections is not None and self.pool.open(owner) >= max_connections
+        is_full = max_connections is not None and self.pool.count_open(owner) >= max_connections
         if connection is None and is_full:
             self.pool.close_oldest_idle(owner)
         self.pool.record_start(owner)
--- a/src/willowpost/proxy/origin/pick.py
+++ b/src/willowpost/proxy/origin/pick.py
@@ -3,14 +3,19 @@
 Origins in the proxy's own zone are preferred.
 """
 
-import math
 import random
 from collections.abc import Callable, Collection, Container, Iterable, Mapping, Sequence
-from dataclasses import dataclass, field
 from statistics import median
 from typing import Protocol
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import SECOND
+from willowpost.proxy.origin.measurements import (
+    DEFAULT_LATENCY_US,
+    NO_MEASUREMENTS,
+    OriginMeasurements,
+    ResponseLoad,
+    parse_load_header,
+)
 from willowpost.proxy.origin.reports import MAX_REPORT_AGE_US
 from willowpost.proxy.routing.snapshot import OriginCard
 
@@ -22,14 +27,9 @@
 # the cost of a distance by whether responses are heavy
 OTHER_ZONE_COST = {False: 1.3, True: 2.0}
 OTHER_REGION_COST = {False: 1.5, True: 8.0}
-# an origin is unresponsive if a request waits this long, and four times the usual latency
-MIN_UNRESPONSIVE_US = 250 * MILLI
-UNRESPONSIVE_LATENCIES = 4
-DEFAULT_LATENCY_US = 50 * MILLI  # while no origin of the service has answered yet
-LATENCY_SMOOTHING = 0.15
-LOAD_HALF_LIFE_US = 1 * SECOND  # of the load that a response reports
-LATENCY_HALF_LIFE_US = 2 * SECOND  # of what is known of an origin that is sent nothing
 FREE_UTILIZATION = 0.6  # the part of the slots that may be busy before queueing is expected
+# how much busy slots beyond that part, and queued requests, prolong a response
+QUEUEING_COST, OVERLOAD_COST = 2.0, 6.0
 JITTER = 0.1  # so that several proxies do not choose the same origin at once
 
 
@@ -40,43 +40,6 @@
         """Returns a number from 0 to 1."""
 
 
-@dataclass(frozen=True, slots=True)
-class ResponseLoad:
-    """The load that an origin reported in its last response with a load header.
-
-    Attributes:
-        busy: Requests that it works on or has queued.
-        slots: Requests that it works on at once.
-        own_in_flight: This proxy's requests to it at that moment.
-        received_at: When the response came, by this process's clock, in µs.
-    """
-
-    busy: int
-    slots: int
-    own_in_flight: int
-    received_at: int
-
-
-@dataclass(slots=True)
-class OriginMeasurements:
-    """What was measured of one origin.
-
-    Attributes:
-        latency_us: The smoothed duration of an exchange, in µs; None before the first response.
-        last_response_at: When the last response came, by this process's clock, in µs, or None.
-        load: The load that it last reported in a response, or None.
-        sent_at: When each request in flight was sent, by ticket, in µs.
-    """
-
-    latency_us: float | None = None
-    last_response_at: int | None = None
-    load: ResponseLoad | None = None
-    sent_at: dict[int, int] = field(default_factory=dict)
-
-
-NO_MEASUREMENTS = OriginMeasurements()
-
-
 class OriginPicker:
     """Ranks origins by expected response time, load and distance.
 
@@ -169,26 +132,18 @@
         if name in self._measurements:
             self._measurements[name].sent_at.pop(ticket, None)
 
-    def answered(self, name: str, took: int, load_header: str | None, now: int) -> None:
+    def answered(self, name: str, latency_us: int, load_header: str | None, now: int) -> None:
         """Records a response.
 
         Args:
             name: The origin.
-            took: Duration of the exchange, in µs.
+            latency_us: Duration of the exchange, in µs.
             load_header: The origin's load header: running, waiting and slots, joined by commas; or
                 None.
             now: This process's clock, in µs.
         """
-        measurements = self._measurements_of(name)
-        latency = measurements.latency_us
-        measurements.latency_us = (
-            took if latency is None else latency + LATENCY_SMOOTHING * (took - latency)
-        )
-        measurements.last_response_at = now
-        numbers = (load_header or "").split(",")
-        if len(numbers) == 3 and all(number.strip().isdigit() for number in numbers):
-            running, queued, slots = map(int, numbers)
-            measurements.load = ResponseLoad(running + queued, slots, self.load.get(name, 0), now)
+        load = parse_load_header(load_header, self.load.get(name, 0), now)
+        self._measurements_of(name).record_response(latency_us, load, now)
 
     def eject(self, name: str, now: int, span: int = EJECTION_US) -> None:
         """Ranks an origin last for `span` µs from now."""
@@ -208,14 +163,7 @@
 
     def silent(self, name: str, now: int) -> bool:
         """Whether it owes a response for long and has answered nothing sent later."""
-        measurements = self._measurements.get(name, NO_MEASUREMENTS)
-        oldest_sent_at = min(measurements.sent_at.values(), default=now)
-        latency = measurements.latency_us
-        usual_latency = DEFAULT_LATENCY_US if latency is None else latency
-        limit = max(MIN_UNRESPONSIVE_US, UNRESPONSIVE_LATENCIES * usual_latency)
-        return (
-            now - oldest_sent_at > limit and (measurements.last_response_at or 0) <= oldest_sent_at
-        )
+        return self._measurements.get(name, NO_MEASUREMENTS).is_unresponsive(now)
 
     def _measurements_of(self, name: str) -> OriginMeasurements:
         return self._measurements.setdefault(name, OriginMeasurements())
@@ -251,31 +199,13 @@
         is_same_region = self.regions.get(zone) == self.regions.get(self.zone)
         return (OTHER_ZONE_COST if is_same_region else OTHER_REGION_COST)[heavy]
 
-    def _expected_latency(self, name: str, least_latency: float, now: int) -> float:
-        """Returns the expected response time, in µs.
-
-        It returns to the least latency of all while the origin is sent nothing, since it may have
-        recovered. An origin that has not answered yet counts as quick as the quickest, or it would
-        never be tried where all others are quick.
-        """
-        measurements = self._measurements.get(name, NO_MEASUREMENTS)
-        if measurements.latency_us is None or measurements.last_response_at is None:
-            return least_latency
-        idle_us = now - measurements.last_response_at
-        excess = measurements.latency_us - least_latency
-        return least_latency + excess * math.pow(0.5, idle_us / LATENCY_HALF_LIFE_US)
-
     def _queueing_cost(self, origin: OriginCard, now: int) -> float:
         """Returns by which factor the origin's load prolongs a response."""
-        in_flight = self.load.get(origin.name, 0)
         load = self._measurements.get(origin.name, NO_MEASUREMENTS).load
-        if load is None:
-            load = ResponseLoad(0, origin.slots, 0, now)
-        decay = math.pow(0.5, (now - load.received_at) / LOAD_HALF_LIFE_US)
-        in_flight_of_others = max(0, load.busy - load.own_in_flight) * decay
-        utilization = (in_flight_of_others + in_flight + 1) / max(1, load.slots)
-        queueing = max(0.0, utilization - FREE_UTILIZATION) * 2.0
-        overload = max(0.0, utilization - 1.0) * 6.0
+        load = load or ResponseLoad(0, origin.slots, 0, now)
+        utilization = load.utilization(self.load.get(origin.name, 0), now)
+        queueing = max(0.0, utilization - FREE_UTILIZATION) * QUEUEING_COST
+        overload = max(0.0, utilization - 1.0) * OVERLOAD_COST
         return 1.0 + queueing + overload
 
     def _cost(self, origin: OriginCard, least_latency: float, now: int, heavy: bool) -> float:
@@ -283,8 +213,9 @@
         distance = self._distance_cost(origin.zone, heavy)
         if not origin.slots:
             return (self.load.get(origin.name, 0) + 1) * distance / origin.rate
+        measurements = self._measurements.get(origin.name, NO_MEASUREMENTS)
         return (
-            self._expected_latency(origin.name, least_latency, now)
+            measurements.expected_latency(least_latency, now)
             * self._queueing_cost(origin, now)
             * distance
             * (1.0 + JITTER * self.chance.random())
--- a/src/willowpost/proxy/origin/pool.py
+++ b/src/willowpost/proxy/origin/pool.py
@@ -16,7 +16,7 @@
 KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
-def idle_span(keep_alive: str | None) -> int:
+def idle_lifetime_us(keep_alive: str | None) -> int:
     """Returns how long an idle connection may be reused, in µs, by a Keep-Alive header."""
     timeout = KEEP_ALIVE_TIMEOUT.search(keep_alive or "")
     if timeout is None:
@@ -69,7 +69,7 @@
         self.idle: dict[str, deque[IdleConnection]] = {}
         self.busy: dict[str, int] = {}
 
-    def open(self, owner: str) -> int:
+    def count_open(self, owner: str) -> int:
         """Returns the number of connections of this owner, in use and idle."""
         return self.busy.get(owner, 0) + len(self.idle.get(owner, ()))
 
@@ -110,7 +110,7 @@
             keep_alive: The other side's Keep-Alive header, or None.
         """
         idle = self.idle.setdefault(owner, deque())
-        idle.append(IdleConnection(connection, self.clock.now() + idle_span(keep_alive)))
+        idle.append(IdleConnection(connection, self.clock.now() + idle_lifetime_us(keep_alive)))
         while len(idle) > MAX_IDLE_CONNECTIONS:
             idle.popleft().connection.close()
 
