--- a/src/willowpost/proxy/front.py
+++ b/src/willowpost/proxy/front.py
@@ -130,7 +130,7 @@
         request = Request(head.method, "", "", head.headers)
         return route is None or kind_of(route, request) != ONCE
 
-    def max_body_bytes(self, head: ClientRequestHead) -> int:
+    def body_limit_bytes(self, head: ClientRequestHead) -> int:
         """Returns the largest body accepted with this request, in bytes."""
         route = self._route(head)
         limit = self.limits().get("body_bytes")
@@ -197,7 +197,7 @@
     def _carry_out(self, request: Request, head: ClientRequestHead, body: bytes) -> ClientResponse:
         self.stats["requests"] += 1
         plan = self.planner.plan(request)
-        if not isinstance(plan, RejectPlan) and len(body) > self.max_body_bytes(head):
+        if not isinstance(plan, RejectPlan) and len(body) > self.body_limit_bytes(head):
             raise self._limit_rejection(413, "body over the limit")
         return self._responses.build(request, self.carrier.carry(request, plan, body))
 
--- a/src/willowpost/proxy/handler.py
+++ b/src/willowpost/proxy/handler.py
@@ -185,7 +185,7 @@
 
     def _respond_with_body(self, pending: PendingResponse, head: ClientRequestHead) -> None:
         try:
-            body = read_body(self.socket, self.reader, head, self.front.max_body_bytes(head))
+            body = read_body(self.socket, self.reader, head, self.front.body_limit_bytes(head))
         except BodyTooLarge:
             pending.closes_connection = True
             self.responses.resolve(pending, self.front.reject_malformed(413, "body over the limit"))
--- a/src/willowpost/proxy/origin/exchange.py
+++ b/src/willowpost/proxy/origin/exchange.py
@@ -14,7 +14,7 @@
 
 from willowpost.proxy.origin.answer import Echo, Header, WholeAnswer
 from willowpost.proxy.origin.failure import ExchangeFailure
-from willowpost.proxy.origin.instance_check import MAX_BODY_BYTES, InstanceCheck
+from willowpost.proxy.origin.instance_check import MAX_CHECK_BODY_BYTES, InstanceCheck
 from willowpost.proxy.origin.request import OriginRequest
 from willowpost.proxy.origin.response_reader import ResponseReader
 from willowpost.shell.connecting import connected
@@ -97,7 +97,7 @@
         self.phase = Phase.INSTANCE_CHECK
         headers = [("host", self.address), ("via", "1.1 willowpost")]
         request = OriginRequest("GET", instance_check.path, headers)
-        response = self._exchange(request, timeout_seconds, MAX_BODY_BYTES)
+        response = self._exchange(request, timeout_seconds, MAX_CHECK_BODY_BYTES)
         instance_check.judge(response)
         if response.rest is not None or not self.reusable:
             raise ExchangeFailure("instance check: does not keep the connection", sent=False)
--- a/src/willowpost/proxy/origin/instance_check.py
+++ b/src/willowpost/proxy/origin/instance_check.py
@@ -7,7 +7,7 @@
 
 TOKEN_HEADER = "wp-token"
 SECONDS = 1.0
-MAX_BODY_BYTES = 64 * 1024
+MAX_CHECK_BODY_BYTES = 64 * 1024
 FIRST_UNHEALTHY_STATUS = 300
 
 
