--- a/src/willowpost/common/clock.py
+++ b/src/willowpost/common/clock.py
@@ -1,9 +1,9 @@
-"""The clocks of a machine; times are whole microseconds."""
+"""The clocks of a machine, and units of time in whole microseconds (µs)."""
 
 import time
 
 SECOND = 1_000_000
-MILLI = 1_000
+MILLISECOND = 1_000
 
 
 class Clock:
--- a/src/willowpost/common/controller.py
+++ b/src/willowpost/common/controller.py
@@ -1,17 +1,17 @@
-"""The interface of a node's parts: each takes events one by one and returns what to do."""
+"""The interface of a node's controllers: each takes events one by one and returns a plan."""
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from willowpost.common.plan import Plan
 
 
 class Controller(Protocol):
-    """A part of a node; step() does no input or output of its own."""
+    """One concern of a node; step() does no input or output of its own."""
 
-    def step(self, event: Any, now: int) -> Plan:
+    def step(self, event: object, now: int) -> Plan:
         """Handle one event at time `now` (µs, own clock).
 
         Returns:
-            What is to be written, sent and answered.
+            What is to be written, sent, answered and logged.
         """
         ...
--- a/src/willowpost/common/events.py
+++ b/src/willowpost/common/events.py
@@ -1,12 +1,18 @@
 """The events that a node handles."""
 
+from collections.abc import Hashable
 from dataclasses import dataclass
 from typing import Any
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A message from another process; `source` is the address it names as its own."""
+    """A message from another process.
+
+    Attributes:
+        source: the address that the sender names as its own.
+        message: one of `wire.messages.BODIES`.
+    """
 
     source: str
     message: Any
@@ -16,12 +22,15 @@
 class Tick:
     """Some time has passed; comes about every 20 ms."""
 
-    pass
-
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """The process's settings changed while it runs: its seeds and, for a store, its pace."""
+    """The process's settings changed while it runs.
+
+    Attributes:
+        seeds: addresses of processes to contact first.
+        pace: a store's new `ReplicaTuning`; None: unchanged.
+    """
 
     seeds: tuple[str, ...]
     pace: Any = None
@@ -38,7 +47,7 @@
             caller waits or, if nobody waits, until the log has answered.
     """
 
-    token: Any
+    token: Hashable
     operations: tuple[Any, ...]
     lifetime: int | None = None
 
@@ -47,4 +56,4 @@
 class WithdrawSubmission:
     """The caller that waited under `token` gave up; its operations are not submitted again."""
 
-    token: Any
+    token: Hashable
--- a/src/willowpost/common/formats.py
+++ b/src/willowpost/common/formats.py
@@ -1,4 +1,4 @@
-"""Version checks for what is kept on disk or sent as text."""
+"""The error for stored data or text in a format that this build does not read."""
 
 from willowpost.common.errors import WillowpostError
 
@@ -10,6 +10,6 @@
         found: the format that the data names.
     """
 
-    def __init__(self, what: str, found: object, known: int):
-        super().__init__(f"{what} has format {found!r}; this build reads {known}")
+    def __init__(self, subject: str, found: object, supported: int) -> None:
+        super().__init__(f"{subject} has format {found!r}; this build reads {supported}")
         self.found = found
--- a/src/willowpost/common/gc_pause.py
+++ b/src/willowpost/common/gc_pause.py
@@ -1,6 +1,6 @@
-"""Pauses the garbage collector for work that creates many objects at once and keeps them all.
+"""Pauses the garbage collector for work that creates many long-lived objects at once.
 
-Searching them for garbage would take nearly half of its time.
+Collections during such work find no garbage and take nearly half of its time.
 """
 
 import gc
@@ -9,15 +9,15 @@
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
-    """Switch the collector off within the block, and back to its former state afterwards.
+def paused_gc() -> Iterator[None]:
+    """Disable the collector within the block, and restore its earlier state afterwards.
 
     The block must not wait, so that no other task runs without the collector.
     """
-    running = gc.isenabled()
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if running:
+        if was_enabled:
             gc.enable()
--- a/src/willowpost/common/nonce.py
+++ b/src/willowpost/common/nonce.py
@@ -8,7 +8,7 @@
 class NonceSequence:
     """Rising numbers whose start differs for each incarnation and purpose.
 
-    A late answer may sit in the queue of a frozen peer, or in one that waits for the asker's
+    A late answer may sit in the queue of a frozen peer, or in one that waits for the sender's
     address to come up again. If each incarnation counted from 0, it could be taken for the answer
     to a request of the next incarnation.
 
@@ -29,6 +29,6 @@
         self.last += 1
         return self.last
 
-    def issued(self, nonce: int) -> bool:
+    def has_issued(self, nonce: int) -> bool:
         """Whether next() has returned `nonce`."""
         return self.start < nonce <= self.last
--- a/src/willowpost/common/rendezvous.py
+++ b/src/willowpost/common/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: assigns duties to live daemons by key, without messages."""
+"""Rendezvous hashing: assigns roles to live daemons by key, without messages."""
 
 from collections.abc import Iterable
 
--- a/src/willowpost/configuration/checker.py
+++ b/src/willowpost/configuration/checker.py
@@ -11,7 +11,7 @@
 from pydantic import ValidationError
 from result import Err, Ok, Result
 
-from willowpost.common.gc_pause import uncollected
+from willowpost.common.gc_pause import paused_gc
 from willowpost.configuration.model import CONFIGURATION, SERVICE
 from willowpost.configuration.routes import DEPTH_MOST, ROUTES_MOST, trunk_of, walk
 from willowpost.shell.settings import findings_of
@@ -53,12 +53,12 @@
 
     def check(self, body: bytes) -> Result[dict[str, Any], Findings]:
         """The configuration as plain data with all defaults, or every finding with its place."""
-        with uncollected():
+        with paused_gc():
             return self.read(body).and_then(self.check_value)
 
     def check_value(self, held: object) -> Result[dict[str, Any], Findings]:
         """As check(), for a value that is already parsed."""
-        with uncollected():
+        with paused_gc():
             return self._judge(held)
 
     def _judge(self, held: object) -> Result[dict[str, Any], Findings]:
--- a/src/willowpost/configuration/routes.py
+++ b/src/willowpost/configuration/routes.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from willowpost.common.gc_pause import uncollected
+from willowpost.common.gc_pause import paused_gc
 
 DEPTH_MOST = 8
 ROUTES_MOST = 20_000
@@ -104,7 +104,7 @@
 
 def routes_of(tree: dict[str, Any]) -> tuple[Route, ...]:
     """Every route of a checked configuration, with the settings that it inherits."""
-    with uncollected():
+    with paused_gc():
         return tuple(
             Route(place.replace("branches/", ""), host, path, **settings)
             for place, _, host, path, settings, _ in walk(tree)
--- a/src/willowpost/shell/parsing.py
+++ b/src/willowpost/shell/parsing.py
@@ -7,7 +7,7 @@
 from importlib.machinery import ModuleSpec, PathFinder
 from importlib.util import module_from_spec
 
-from willowpost.common.import_guard import without
+from willowpost.common.import_guard import blocked_imports
 
 NAME = "geventhttpclient._parser"
 
@@ -17,7 +17,7 @@
         return sys.modules[NAME]
     package = PathFinder.find_spec("geventhttpclient")
     spec: ModuleSpec = PathFinder.find_spec(NAME, package.submodule_search_locations)
-    with without("ssl"):  # by way of http.client, whose exceptions it shares
+    with blocked_imports("ssl"):  # by way of http.client, whose exceptions it shares
         parser = module_from_spec(spec)
         spec.loader.exec_module(parser)
     return parser
--- a/src/willowpost/shell/process_settings.py
+++ b/src/willowpost/shell/process_settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.node.graceful_shutdown import ShutdownTimeouts
 from willowpost.store.graceful_shutdown import StoreShutdownTimeouts
@@ -49,7 +49,7 @@
     def spans(self) -> ShutdownTimeouts:
         """The spans of a planned end, in µs."""
         return ShutdownTimeouts(
-            self.drain_ms * MILLI, self.finish_ms * MILLI, self.leave_ms * MILLI
+            self.drain_ms * MILLISECOND, self.finish_ms * MILLISECOND, self.leave_ms * MILLISECOND
         )
 
     def store_spans(self) -> StoreShutdownTimeouts:
@@ -58,4 +58,4 @@
         A hand-over may take the whole planned end, a restart only its last part.
         """
         whole = self.drain_ms + self.finish_ms + self.leave_ms
-        return StoreShutdownTimeouts(whole * MILLI, self.leave_ms * MILLI)
+        return StoreShutdownTimeouts(whole * MILLISECOND, self.leave_ms * MILLISECOND)
--- a/src/willowpost/shell/settings.py
+++ b/src/willowpost/shell/settings.py
@@ -10,7 +10,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator
 from result import Err, Ok, Result
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.shell.process_settings import ProcessSettings
 
@@ -35,7 +35,7 @@
         """The timing in µs, as the replica takes it."""
         return ReplicaTuning(
             **{
-                name: value * (1 if name in ("keep", "rotate") else MILLI)
+                name: value * (1 if name in ("keep", "rotate") else MILLISECOND)
                 for name, value in self.model_dump().items()
             }
         )
--- a/src/willowpost/shell/web.py
+++ b/src/willowpost/shell/web.py
@@ -6,11 +6,11 @@
 from gevent import socket
 from gevent.pool import Pool
 
-from willowpost.common.import_guard import without
+from willowpost.common.import_guard import blocked_imports
 from willowpost.shell.mesh import split
 
 # http.client takes it if it is there; nothing here speaks TLS, and it costs 4 MB
-with without("ssl"):
+with blocked_imports("ssl"):
     from gevent.pywsgi import Input as Input
     from gevent.pywsgi import WSGIHandler, WSGIServer
 
--- a/tests/shell/test_settings_reload.py
+++ b/tests/shell/test_settings_reload.py
@@ -11,7 +11,7 @@
 
 import yaml
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import SettingsChanged
 from willowpost.node.failure_detector import watchers_of
 from willowpost.node.node_state import LEASE, DaemonDescriptor, NodeState
@@ -102,7 +102,7 @@
         for name in ("settings.yaml", "settings.yml"):
             place = self.read(name, text).unwrap().place()
             self.assertEqual(
-                (3, False, {"a": "north", "b": "south"}, 60_000, 30 * MILLI),
+                (3, False, {"a": "north", "b": "south"}, 60_000, 30 * MILLISECOND),
                 (
                     place.voters,
                     place.may_bootstrap,
@@ -115,7 +115,8 @@
                 place, self.read("settings.json", json.dumps(yaml.safe_load(text))).unwrap().place()
             )
             self.assertEqual(
-                (2500 * MILLI, 30_000 * MILLI), (place.spans().drain, place.spans().finish)
+                (2500 * MILLISECOND, 30_000 * MILLISECOND),
+                (place.spans().drain, place.spans().finish),
             )
 
     def test_findings_as_before(self):
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -36,13 +36,13 @@
         return plain[field.type]()
     if field.name in ("states", "votes"):
         return tuple(chance.randrange(3) for _ in range(chance.randrange(4)))
-    nested = {"command": Command, "piece": SnapshotChunk, SnapshotRequest | None: SnapshotRequest}
+    nested = {"command": Command, "chunk": SnapshotChunk, SnapshotRequest | None: SnapshotRequest}
     if field.name in nested or field.type in nested:
         return made(chance, nested.get(field.name) or nested[field.type])
-    if field.name == "promise":
+    if field.name == "bootstrap_promise":
         return tuple("v" * chance.randrange(1, 4) for _ in range(chance.randrange(3)))
     return tuple(
-        made(chance, {"decisions": Decision, "known": Member}[field.name])
+        made(chance, {"decisions": Decision, "known_members": Member}[field.name])
         for _ in range(chance.randrange(3))
     )
 
