--- a/src/willowpost/configuration/checker.py
+++ b/src/willowpost/configuration/checker.py
@@ -14,10 +14,10 @@
 from willowpost.common.gc_pause import paused_gc
 from willowpost.configuration.model import CONFIGURATION, SERVICE
 from willowpost.configuration.routes import DEPTH_MOST, ROUTES_MOST, trunk_of, walk
-from willowpost.shell.settings import findings_of
+from willowpost.shell.validation import validation_issues
 
 BYTES_MOST = 4 * 1024 * 1024
-Findings = list[dict[str, str]]  # each with its place
+Findings = list[ValidationIssue]
 
 
 def once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -65,7 +65,7 @@
         try:
             configuration = CONFIGURATION.validate_python(held)
         except ValidationError as error:
-            return Err(findings_of(error))
+            return Err(validation_issues(error))
         except RecursionError:
             return Err([{"place": "/", "finding": "nested too deep"}])
         tree = {
--- a/src/willowpost/shell/disk.py
+++ b/src/willowpost/shell/disk.py
@@ -1,28 +1,39 @@
-"""A store's data folder: one file per segment, written aside, synced, renamed, then appended to."""
+"""A store's data folder, one file per segment.
+
+A new segment is written under a temporary name, synced and renamed; then it is appended to.
+"""
 
 import contextlib
 import os
 import shutil
 
-from willowpost.shell.segment_format import batch_of, parse, segment_lines
+from willowpost.common.errors import WillowpostError
+from willowpost.shell.segment_format import Record, encode_batch, parse_segment, segment_lines
+
+SEGMENT_PREFIX = "segment-"
+SEGMENT_SUFFIX = ".wp"
+TEMPORARY_SUFFIX = ".aside"
+DAMAGED_MARK = ".damaged-"
+FILE_MODE = 0o644
+
 
-PREFIX = "segment-"
-SUFFIX = ".wp"
-ASIDE = ".aside"
-DAMAGED = ".damaged-"
+class NoSegmentError(WillowpostError):
+    """Records were appended before a first segment was loaded or written."""
 
 
-def segments_in(folder: str) -> list[str]:
-    """Names of the folder's segments, oldest first."""
+def segment_names(folder: str) -> list[str]:
+    """Return the names of the folder's segments, oldest first."""
     return sorted(
-        name for name in os.listdir(folder) if name.startswith(PREFIX) and name.endswith(SUFFIX)
+        name
+        for name in os.listdir(folder)
+        if name.startswith(SEGMENT_PREFIX) and name.endswith(SEGMENT_SUFFIX)
     )
 
 
 class Disk:
     """Writes segments; what append() and rotate() were given is synced when they return.
 
-    If they raise, nothing of it is in a segment that load() would read. The newest segment holds
+    If they raise, nothing of it is in a segment that load() would read. The newest segment contains
     all that older ones did. An older segment is removed only once the newer one's folder entry is
     synced; until then a power loss may remove either entry by itself.
 
@@ -30,120 +41,132 @@
     thread costs more than it saves (docs/design/rabia.md).
 
     Attributes:
-        end: Length of the synced part of the newest segment, in bytes.
+        folder: path of the data folder.
+        number: of the newest segment; 0: none.
+        synced_bytes: length of the synced part of the newest segment.
     """
 
-    def __init__(self, folder: str):
+    def __init__(self, folder: str) -> None:
         self.folder = folder
         self.number = 0
-        self.file = None
-        self.end = 0  # of what is synced in `file`
+        self.synced_bytes = 0
+        self._file: int | None = None
         os.makedirs(folder, exist_ok=True)
 
-    def load(self) -> list[dict]:
-        """The records of the newest segment; none if the folder has no segment.
+    def load(self) -> list[Record]:
+        """Return the records of the newest segment; none if the folder has no segment.
 
         Raises:
-            DiskDamaged: The segment cannot be trusted; see segment_format.
-            UnknownFormat: It was written by another build.
+            DiskDamagedError: the segment cannot be trusted; see segment_format.
+            UnknownFormatError: it was written by another build.
         """
-        names = segments_in(self.folder)
-        if names:
-            records = self._open_newest(names[-1])
+        names = segment_names(self.folder)
+        records = self._open_segment(names[-1]) if names else []
         # A process that was killed may have renamed what is here before it synced the folder.
         _sync_folder(self.folder)
         _sync_folder(os.path.dirname(os.path.abspath(self.folder)))
-        self._drop([name for name in os.listdir(self.folder) if name.endswith(ASIDE)])
-        self._drop(names[:-1])
-        return records if names else []
+        self._remove([name for name in os.listdir(self.folder) if name.endswith(TEMPORARY_SUFFIX)])
+        self._remove(names[:-1])
+        return records
 
-    def _open_newest(self, name):
+    def _open_segment(self, name: str) -> list[Record]:
         path = os.path.join(self.folder, name)
-        with open(path, "rb") as held:
-            records, sound = parse(held.read())
-        self.number = int(name[len(PREFIX) : -len(SUFFIX)])
-        self.file = os.open(path, os.O_RDWR)
-        self.end = sound
-        self._cut()
-        os.fsync(self.file)
+        with open(path, "rb") as segment:
+            records, valid_bytes = parse_segment(segment.read())
+        self.number = int(name[len(SEGMENT_PREFIX) : -len(SEGMENT_SUFFIX)])
+        self._file = os.open(path, os.O_RDWR)
+        self.synced_bytes = valid_bytes
+        self._truncate(self._file)
+        os.fsync(self._file)
         return records
 
-    def append(self, records: list[dict]) -> None:
-        """Appends one batch of records to the newest segment and syncs it.
+    def append(self, records: list[Record]) -> None:
+        """Append one batch of records to the newest segment and sync it.
 
         Raises:
-            OSError: It could not be written.
+            NoSegmentError: there is no segment.
+            OSError: it could not be written.
         """
-        data = batch_of(records)
+        if self._file is None:
+            raise NoSegmentError(f"no segment in {self.folder}")
+        data = encode_batch(records)
         try:
-            _write(self.file, data)
-            os.fdatasync(self.file)
+            _write(self._file, data)
+            os.fdatasync(self._file)
         except OSError:
-            self._cut()
+            self._truncate(self._file)
             raise
-        self.end += len(data)
+        self.synced_bytes += len(data)
 
-    def rotate(self, records: list[dict]) -> None:
-        """Replaces all segments by a new one with these records.
+    def rotate(self, records: list[Record]) -> None:
+        """Replace all segments by a new one with these records.
 
         Raises:
-            OSError: It could not be written.
+            OSError: it could not be written.
         """
-        older = [self._name(self.number)] if self.file is not None else []
-        file, end = self._written(self._name(self.number + 1), records)
-        if self.file is not None:
-            os.close(self.file)
-        self.file, self.end, self.number = file, end, self.number + 1
-        self._drop(older)
-
-    def _written(self, name, records) -> tuple[int, int]:
-        """The open file of a new segment that is on disk under its name, and its length."""
+        previous = [_segment_name(self.number)] if self._file is not None else []
+        file, size = self._write_segment(_segment_name(self.number + 1), records)
+        if self._file is not None:
+            os.close(self._file)
+        self._file = file
+        self.synced_bytes = size
+        self.number += 1
+        self._remove(previous)
+
+    def _write_segment(self, name: str, records: list[Record]) -> tuple[int, int]:
+        """Write a new segment; returns its open file and its length in bytes."""
         path = os.path.join(self.folder, name)
-        file = os.open(path + ASIDE, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o644)
-        end = 0
+        file = os.open(path + TEMPORARY_SUFFIX, os.O_RDWR | os.O_CREAT | os.O_TRUNC, FILE_MODE)
+        size = 0
         try:
             for line in segment_lines(records):
                 _write(file, line)
-                end += len(line)
+                size += len(line)
             os.fsync(file)
-            os.rename(path + ASIDE, path)
+            os.rename(path + TEMPORARY_SUFFIX, path)
             _sync_folder(self.folder)
         except OSError:
             os.close(file)
             raise
-        return file, end
+        return file, size
+
+    def quarantine(self, moment: int) -> str:
+        """Rename a damaged folder and return its new path; only the latest one stays.
 
-    def set_aside(self, moment: int) -> str:
-        """Renames a damaged folder and returns its new path; only the latest one is kept."""
+        Args:
+            moment: makes the new name unique, such as the time in µs.
+        """
         parent, name = os.path.split(os.path.abspath(self.folder))
-        for former in os.listdir(parent):
-            if former.startswith(name + DAMAGED):
-                shutil.rmtree(os.path.join(parent, former))
-        aside = f"{self.folder}{DAMAGED}{moment}"
-        os.rename(self.folder, aside)
+        for earlier in os.listdir(parent):
+            if earlier.startswith(name + DAMAGED_MARK):
+                shutil.rmtree(os.path.join(parent, earlier))
+        quarantined = f"{self.folder}{DAMAGED_MARK}{moment}"
+        os.rename(self.folder, quarantined)
         _sync_folder(parent)
-        return aside
-
-    def _name(self, number):
-        return f"{PREFIX}{number:012d}{SUFFIX}"
+        return quarantined
 
-    def _cut(self):
-        os.ftruncate(self.file, self.end)
-        os.lseek(self.file, self.end, os.SEEK_SET)
+    def _truncate(self, file: int) -> None:
+        """Remove what follows the synced part."""
+        os.ftruncate(file, self.synced_bytes)
+        os.lseek(file, self.synced_bytes, os.SEEK_SET)
 
-    def _drop(self, names):
+    def _remove(self, names: list[str]) -> None:
         for name in names:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(os.path.join(self.folder, name))
 
 
-def _write(file, data):
-    left = memoryview(data)
-    while left:
-        left = left[os.write(file, left) :]
+def _segment_name(number: int) -> str:
+    return f"{SEGMENT_PREFIX}{number:012d}{SEGMENT_SUFFIX}"
+
+
+def _write(file: int, data: bytes) -> None:
+    rest = memoryview(data)
+    while rest:
+        rest = rest[os.write(file, rest) :]
 
 
-def _sync_folder(path):
+def _sync_folder(path: str) -> None:
     folder = os.open(path, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/src/willowpost/shell/metrics.py
+++ b/src/willowpost/shell/metrics.py
@@ -1,7 +1,7 @@
-"""The figures of a process as text, in the format of Prometheus.
+"""The metrics of a process as text, in the format of Prometheus.
 
-The client library is imported at the first fetch: it costs megabytes, and most processes are never
-asked.
+The client library is imported at the first scrape: it costs megabytes, and most processes are never
+scraped.
 """
 
 import sys
@@ -15,59 +15,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
-    """A figure, or several told apart by one label.
+class Metric:
+    """A gauge or counter, or several distinguished by one label.
 
     Attributes:
-        name: Its name, without the product's prefix.
-        text: What it counts, and in which unit.
-        values: Label value to figure; "" for one without a label.
-        label: The label's name.
-        total: Whether it only grows.
+        name: its name, without the product's prefix.
+        description: what it measures, and in which unit.
+        values: label value to metric value; "" for a metric without a label.
+        label: the label's name.
+        is_counter: whether it only grows.
     """
 
     name: str
-    text: str
+    description: str
     values: dict[str, float]
     label: str = ""
-    total: bool = False
+    is_counter: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class HistogramFigure:
+class HistogramMetric:
     """A histogram.
 
     Attributes:
-        name: Its name, without the product's prefix.
-        text: What it counts, and in which unit.
-        buckets: (upper bound, how many were at most that), the last bound being infinite.
-        total: The sum of what was counted.
+        name: its name, without the product's prefix.
+        description: what it measures, and in which unit.
+        buckets: (upper bound, how many observations were at most that); the last bound is infinite.
+        sum: of all observations.
     """
 
     name: str
-    text: str
+    description: str
     buckets: list[tuple[float, int]] = field(default_factory=list)
-    total: float = 0.0
+    sum: float = 0.0
 
 
-Figures = Callable[[], Iterable[Figure | HistogramFigure]]
+NAME_PREFIX = "willowpost_"
+MetricsSource = Callable[[], Iterable[Metric | HistogramMetric]]
 
 
 class MetricsPage:
-    """A WSGI application that tells a process's figures, whatever the path.
+    """A WSGI application that serves a process's metrics, whatever the path.
 
     Args:
-        figures: Gives the figures as they are now.
+        source: returns the metrics as they are now.
     """
 
     in_flight = 0
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
+    def __init__(self, source: MetricsSource) -> None:
+        self.source = source
         self._registry: Any = None
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> list[bytes]:
-        """Answers one WSGI request."""
+        """Respond to one WSGI request."""
         body = self.text()
         start_response(
             "200 OK", [("Content-Type", CONTENT_TYPE), ("Content-Length", str(len(body)))]
@@ -75,26 +76,16 @@
         return [body]
 
     def collect(self) -> Iterable[Any]:
-        """The figures as the library's metric families; it calls this at each fetch."""
+        """Yield the library's metric families; it calls this at each scrape."""
         families = _library("prometheus_client.metrics_core")
-        for figure in self.figures():
-            if isinstance(figure, HistogramFigure):
-                family = families.HistogramMetricFamily(f"willowpost_{figure.name}", figure.text)
-                buckets = [
-                    ("+Inf" if bound == inf else str(bound), count)
-                    for bound, count in figure.buckets
-                ]
-                family.add_metric([], buckets, figure.total)
+        for metric in self.source():
+            if isinstance(metric, HistogramMetric):
+                yield _histogram_family(families, metric)
             else:
-                kind = families.CounterMetricFamily if figure.total else families.GaugeMetricFamily
-                labels = [figure.label] if figure.label else None
-                family = kind(f"willowpost_{figure.name}", figure.text, labels=labels)
-                for label, value in figure.values.items():
-                    family.add_metric([label] if figure.label else [], value)
-            yield family
+                yield _family(families, metric)
 
     def text(self) -> bytes:
-        """The page."""
+        """Return the page."""
         library = _library("prometheus_client")
         if self._registry is None:
             self._registry = library.CollectorRegistry()
@@ -103,11 +94,27 @@
         return page
 
 
+def _family(families: ModuleType, metric: Metric) -> Any:
+    kind = families.CounterMetricFamily if metric.is_counter else families.GaugeMetricFamily
+    labels = [metric.label] if metric.label else None
+    family = kind(NAME_PREFIX + metric.name, metric.description, labels=labels)
+    for label, value in metric.values.items():
+        family.add_metric([label] if metric.label else [], value)
+    return family
+
+
+def _histogram_family(families: ModuleType, metric: HistogramMetric) -> Any:
+    family = families.HistogramMetricFamily(NAME_PREFIX + metric.name, metric.description)
+    buckets = [("+Inf" if bound == inf else str(bound), count) for bound, count in metric.buckets]
+    family.add_metric([], buckets, metric.sum)
+    return family
+
+
 def _library(name: str) -> ModuleType:
-    """A module of the client library, imported when it is first needed.
+    """Return a module of the client library, imported when it is first needed.
 
-    It takes TLS classes from modules that may have been loaded without TLS here (`common.lean`), so
-    these are loaded anew.
+    It takes TLS classes from modules that may have been loaded without TLS here
+    (`common/import_guard.py`), so these are loaded anew.
     """
     if "prometheus_client" not in sys.modules:
         for loaded_without_tls in ("http.client", "urllib.request"):
--- a/src/willowpost/shell/process_settings.py
+++ b/src/willowpost/shell/process_settings.py
@@ -10,10 +10,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSettings:
-    """The settings of one process.
+    """The settings of one process; the names are those of the settings file.
 
-    They are made from checked settings (shell/settings.py) or by another entry point. Spans with
+    They are made from checked settings (shell/settings.py) or by another entry point. Times with
     the suffix _ms are in milliseconds.
+
+    Attributes:
+        name: of the machine.
+        zone: where the machine is.
+        address: `IP:port` where the fleet's processes reach this one.
+        seeds: addresses of processes to contact first.
+        http: `IP:port` for requests over HTTP; None: none.
+        health: `IP:port` of a proxy's health page, if apart from its requests.
+        metrics: `IP:port` of its metrics page (shell/metrics.py); None: none.
+        role: edge, shield or core.
+        data: path of a store's data folder.
+        voters: how many stores the bootstrap waits for.
+        max_voters: to how many voters the core may grow; 0: it does not grow.
+        may_bootstrap: False: an empty store only learns.
+        bootstrap_from_seeds: whether only a store that is itself a seed may bootstrap.
+        regions: zone -> region.
+        serve_on_ms: a proxy serves for so long after its last state updates.
+        drain_ms: in a graceful shutdown, how long it goes on accepting requests.
+        finish_ms: then, how long it may finish requests in flight.
+        leave_ms: then, how long it waits to be removed by the log.
+        link_mbps: capacity of the machine's link, if known.
+        cache_bytes: bound of a proxy's cache.
+        extra_part: retries of all proxies together may be this part of the demand,
+        extra_slack: plus so many,
+        extra_window_ms: in any window of this length.
+        pace: timing of a store's replica.
+        level: the lowest level to log.
     """
 
     name: str
@@ -21,41 +48,37 @@
     address: str
     seeds: tuple[str, ...]
     http: str | None = None
-    # where a proxy tells its health, if apart from its requests
     health: str | None = None
-    # where it tells its figures (shell/metrics.py)
     metrics: str | None = None
     role: str = "core"
     data: str | None = None
-    voters: int = 5  # bootstrap members of the core
-    max_voters: int = 0  # what the core may grow to; 0: it does not grow
-    may_bootstrap: bool = True  # False: an empty store only learns
-    bootstrap_from_seeds: bool = False  # only a store that is itself a seed founds
-    regions: dict[str, str] = field(default_factory=dict)  # zone -> region
-    # a proxy serves on this long after its last state updates
+    voters: int = 5
+    max_voters: int = 0
+    may_bootstrap: bool = True
+    bootstrap_from_seeds: bool = False
+    regions: dict[str, str] = field(default_factory=dict)
     serve_on_ms: int = 1500
-    drain_ms: int = 3000  # a leaver goes on serving all
-    finish_ms: int = 30000  # then finishes what is under way
-    leave_ms: int = 1500  # then waits to be out of the log
-    link_mbps: float | None = None  # the machine's link, if that is known
-    cache_bytes: int = 128 * 1024 * 1024  # a proxy keeps copies up to this
-    # extra tries of all proxies: this part of the demand
+    drain_ms: int = 3000
+    finish_ms: int = 30000
+    leave_ms: int = 1500
+    link_mbps: float | None = None
+    cache_bytes: int = 128 * 1024 * 1024
     extra_part: float = 0.2
-    extra_slack: float = 60  # and these
-    extra_window_ms: int = 10_000  # in any such span
+    extra_slack: float = 60
+    extra_window_ms: int = 10_000
     pace: ReplicaTuning = field(default_factory=ReplicaTuning)
     level: str = "INFO"
 
-    def spans(self) -> ShutdownTimeouts:
-        """The spans of a planned end, in µs."""
+    def shutdown_timeouts(self) -> ShutdownTimeouts:
+        """Return the time-outs of a graceful shutdown, in µs."""
         return ShutdownTimeouts(
             self.drain_ms * MILLISECOND, self.finish_ms * MILLISECOND, self.leave_ms * MILLISECOND
         )
 
-    def store_spans(self) -> StoreShutdownTimeouts:
-        """A store's spans, in µs.
+    def store_shutdown_timeouts(self) -> StoreShutdownTimeouts:
+        """Return a store's time-outs, in µs.
 
-        A hand-over may take the whole planned end, a restart only its last part.
+        A hand-over may take the whole graceful shutdown, a restart only its last phase.
         """
-        whole = self.drain_ms + self.finish_ms + self.leave_ms
-        return StoreShutdownTimeouts(whole * MILLISECOND, self.leave_ms * MILLISECOND)
+        total_ms = self.drain_ms + self.finish_ms + self.leave_ms
+        return StoreShutdownTimeouts(total_ms * MILLISECOND, self.leave_ms * MILLISECOND)
--- a/src/willowpost/shell/program.py
+++ b/src/willowpost/shell/program.py
@@ -2,26 +2,35 @@
 
 import json
 import sys
-from typing import ClassVar
+from typing import Any, ClassVar
 
 from cleo.application import Application
 from cleo.commands.command import Command
 from cleo.helpers import option
 
+from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.reload import SettingsReload
-from willowpost.shell.serving import serve
+from willowpost.shell.serving import Daemon, serve
 from willowpost.shell.settings import DaemonSettings, SettingsReader
 from willowpost.shell.structured_log import StructuredLogger
 
+VERSION = "0.1.0"
+EXIT_WRONG_SETTINGS = 2
+# Flags that replace the settings of the same name.
+SETTING_FLAGS = ("name", "zone", "address", "http", "role", "data", "voters", "level")
+
 
 class DaemonCommand(Command):
     """The command of one program.
 
-    Wrong settings end it with exit code 2 and all findings, before any socket is opened.
+    Wrong settings end it with exit code 2 and all issues, before any socket is opened.
+
+    Attributes:
+        required_settings: fields that this program requires.
     """
 
-    needs: tuple[str, ...] = ()
-    options: ClassVar[list] = [
+    required_settings: tuple[str, ...] = ()
+    options: ClassVar[list[Any]] = [
         option("settings", "p", "JSON or YAML file with this process's settings.", flag=False),
         option("name", None, "Name of the machine.", flag=False),
         option("zone", None, "Zone the machine stands in.", flag=False),
@@ -37,38 +46,39 @@
 
     def handle(self) -> int:
         """Check the settings and serve; 2 for wrong settings."""
-        flags = {
-            name: self.option(name)
-            for name in ("name", "zone", "address", "http", "role", "data", "voters", "level")
-        }
-        flags["seeds"] = self.option("seeds").split(",") if self.option("seeds") else None
-        read = SettingsReader().read(self.option("settings"), flags, self.needs)
+        path, flags = self.option("settings"), self._setting_flags()
+        read = SettingsReader().read(path, flags, self.required_settings)
         if read.is_err():
-            for finding in read.unwrap_err():
-                print(json.dumps(finding), file=sys.stderr)
-            return 2
+            for issue in read.unwrap_err():
+                print(json.dumps(issue), file=sys.stderr)
+            return EXIT_WRONG_SETTINGS
         settings = read.unwrap()
         if self.option("check"):
             self.line("settings are sound")
             return 0
-        logger = StructuredLogger(self.name, settings.name, settings.level)
-        reload = SettingsReload(self.option("settings"), flags, self.needs, settings, logger)
+        logger = StructuredLogger(str(self.name), settings.name, settings.level)
+        reload = SettingsReload(path, flags, self.required_settings, settings, logger)
         serve(
-            self.build(settings.place(), logger),
+            self.build(settings.to_process_settings(), logger),
             logger,
-            lambda: reload.step().map(DaemonSettings.place).unwrap_or(None),
+            lambda: reload.reload().map(DaemonSettings.to_process_settings).unwrap_or(None),
         )
         return 0
 
-    def build(self, place, logger):
-        """The daemon of this command, for checked settings."""
+    def _setting_flags(self) -> dict[str, Any]:
+        flags = {name: self.option(name) for name in SETTING_FLAGS}
+        seeds = self.option("seeds")
+        return {**flags, "seeds": seeds.split(",") if seeds else None}
+
+    def build(self, settings: ProcessSettings, logger: StructuredLogger) -> Daemon:
+        """Return the daemon of this command, for checked settings."""
         raise NotImplementedError
 
 
 def run(command: Command) -> None:
     """Run one command as the program's only one, and exit."""
-    application = Application(command.name, "0.1.0")
+    application = Application(str(command.name), VERSION)
     application.add(command)
-    application._default_command = command.name
+    application._default_command = str(command.name)
     application._single_command = True
     sys.exit(application.run())
--- a/src/willowpost/shell/reload.py
+++ b/src/willowpost/shell/reload.py
@@ -1,54 +1,60 @@
 """Reads a process's settings again while it runs."""
 
+from collections.abc import Mapping
 from typing import Any
 
 from result import Err, Ok, Result
 
 from willowpost.shell.settings import DaemonSettings, SettingsReader
 from willowpost.shell.structured_log import StructuredLogger
+from willowpost.shell.validation_issue import ValidationIssue
 
-LIVE = ("seeds", "level", "pace")
+LIVE_SETTINGS = ("seeds", "level", "pace")  # need no restart
 
 
 class SettingsReload:
     """Applies changed settings that need no restart and logs the others at each reload.
 
-    Settings with any finding change nothing.
+    Settings with any issue change nothing.
 
     Attributes:
-        held: The settings that this process runs with.
+        settings: the settings that this process runs with.
     """
 
     def __init__(
         self,
         path: str | None,
-        flags: dict[str, Any],
-        needs: tuple[str, ...],
-        held: DaemonSettings,
+        flags: Mapping[str, Any],
+        required: tuple[str, ...],
+        settings: DaemonSettings,
         logger: StructuredLogger,
-    ):
-        self.path, self.flags, self.needs, self.held, self.logger = path, flags, needs, held, logger
+    ) -> None:
+        self.path, self.flags, self.required = path, flags, required
+        self.settings, self.logger = settings, logger
 
-    def step(self) -> Result[DaemonSettings, list[dict[str, str]]]:
-        """Reads the settings; returns those now in use, or the findings."""
-        read = SettingsReader().read(self.path, self.flags, self.needs)
+    def reload(self) -> Result[DaemonSettings, list[ValidationIssue]]:
+        """Read the settings; returns those now in use, or the issues."""
+        read = SettingsReader().read(self.path, self.flags, self.required)
         if read.is_err():
+            issues = read.unwrap_err()
             self.logger.log(
-                "settings", "wrong, the old ones stay", level="error", findings=read.unwrap_err()
+                "settings", "reload rejected, the old ones stay", level="error", issues=issues
             )
-            return Err(read.unwrap_err())
+            return Err(issues)
         wanted = read.unwrap()
         changed = [
             name
             for name in DaemonSettings.model_fields
-            if getattr(wanted, name) != getattr(self.held, name)
+            if getattr(wanted, name) != getattr(self.settings, name)
         ]
-        live = [name for name in changed if name in LIVE]
-        self.held = self.held.model_copy(update={name: getattr(wanted, name) for name in live})
+        live = [name for name in changed if name in LIVE_SETTINGS]
+        self.settings = self.settings.model_copy(
+            update={name: getattr(wanted, name) for name in live}
+        )
         self.logger.log(
             "settings",
-            "read again",
+            "reloaded",
             changed=live,
-            needs_restart=[name for name in changed if name not in LIVE],
+            needs_restart=[name for name in changed if name not in LIVE_SETTINGS],
         )
-        return Ok(self.held)
+        return Ok(self.settings)
--- a/src/willowpost/shell/retrying_disk.py
+++ b/src/willowpost/shell/retrying_disk.py
@@ -1,15 +1,30 @@
 """A disk that waits while there is no space left or no free file handle."""
 
 import errno
+from collections.abc import Callable
+from typing import Protocol
 
 import gevent
 
-# may pass: files are deleted, connections close
-PASSING = {errno.ENOSPC, errno.EDQUOT, errno.EMFILE, errno.ENFILE}
-RETRY_SECONDS = 0.25
+from willowpost.shell.segment_format import Record
+from willowpost.shell.structured_log import StructuredLogger
+
+# May pass by itself: files are deleted, connections close.
+RETRYABLE_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EMFILE, errno.ENFILE})
+RETRY_INTERVAL_SECONDS = 0.25
 RETRIES_PER_LOG_LINE = 40
 
 
+class RecordWriter(Protocol):
+    """Where a plan's records are written, such as a `Disk`."""
+
+    def append(self, records: list[Record]) -> None:
+        """Append one batch of records and sync it."""
+
+    def rotate(self, records: list[Record]) -> None:
+        """Replace all segments by a new one with these records."""
+
+
 class RetryingDisk:
     """Writes to a disk and retries while space or file handles are missing.
 
@@ -17,47 +32,53 @@
     meanwhile. Any other failure is raised, since the state of the disk after it is not known.
 
     Args:
-        disk: The disk to write to.
-        logs: Where log lines go.
-        wait: Sleeps for so many seconds.
+        disk: where to write.
+        logger: where log lines go.
+        wait: sleeps for so many seconds.
     """
 
-    def __init__(self, disk, logger, wait=gevent.sleep):
+    def __init__(
+        self,
+        disk: RecordWriter,
+        logger: StructuredLogger,
+        wait: Callable[[float], object] = gevent.sleep,
+    ) -> None:
         self.disk, self.logger, self.wait = disk, logger, wait
 
-    def append(self, records: list[dict]) -> None:
-        """Appends records to the newest segment.
+    def append(self, records: list[Record]) -> None:
+        """Append records to the newest segment.
 
         Raises:
-            OSError: A failure that waiting does not mend.
+            OSError: a failure that waiting does not repair.
         """
-        self._until_done(self.disk.append, records)
+        self._retry(self.disk.append, records)
 
-    def rotate(self, records: list[dict]) -> None:
-        """Begins a new segment with these records in place of the older ones.
+    def rotate(self, records: list[Record]) -> None:
+        """Start a new segment with these records in place of the older ones.
 
         Raises:
-            OSError: A failure that waiting does not mend.
+            OSError: a failure that waiting does not repair.
         """
-        self._until_done(self.disk.rotate, records)
+        self._retry(self.disk.rotate, records)
 
-    def _until_done(self, write, records):
-        waits = 0
+    def _retry(self, write: Callable[[list[Record]], None], records: list[Record]) -> None:
+        retries = 0
         while True:
             try:
                 return write(records)
             except OSError as problem:
-                if problem.errno not in PASSING:
+                if problem.errno not in RETRYABLE_ERRNOS:
                     raise
-                if waits % RETRIES_PER_LOG_LINE == 0:
-                    self._say(problem)
-                waits += 1
-                self.wait(RETRY_SECONDS)
+                if retries % RETRIES_PER_LOG_LINE == 0:
+                    self._log_failure(problem, retries)
+                retries += 1
+                self.wait(RETRY_INTERVAL_SECONDS)
 
-    def _say(self, problem):
+    def _log_failure(self, problem: OSError, retries: int) -> None:
         self.logger.log(
             "disk",
-            "cannot write; this store says nothing until it can",
+            "write failed, retrying; this store sends nothing until it succeeds",
             level="error",
             problem=str(problem),
+            retries=retries,
         )
--- a/src/willowpost/shell/serving.py
+++ b/src/willowpost/shell/serving.py
@@ -12,7 +12,11 @@
 from willowpost.shell.runner import Runner
 from willowpost.shell.structured_log import StructuredLogger
 
-Reload = Callable[[], ProcessSettings | None]
+ReloadSettings = Callable[[], ProcessSettings | None]
+
+
+def _no_reload() -> None:
+    return None
 
 
 class Daemon(Protocol):
@@ -21,29 +25,37 @@
     runner: Runner
 
     def start(self) -> None:
-        """Take up the work; returns at once."""
+        """Start the work; returns at once."""
 
     def stop(self) -> None:
-        """End as planned; returns when all is finished."""
+        """End by a graceful shutdown; returns when all is finished."""
 
 
-def serve(daemon: Daemon, logger: StructuredLogger, reload: Reload = lambda: None) -> None:
-    """reload() gives the Place to go on with, or None when the old one stays.
+def serve(
+    daemon: Daemon, logger: StructuredLogger, reload_settings: ReloadSettings = _no_reload
+) -> None:
+    """Run a daemon until SIGTERM or SIGINT; returns when its graceful shutdown has ended.
 
-    Returns when the daemon has ended as planned.
+    Args:
+        daemon: what to run.
+        logger: where log lines go.
+        reload_settings: called on SIGHUP; returns the settings to go on with, or None when the old
+            ones stay.
     """
-    stopped = Event()
+    stop_requested = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, stopped.set)
-    gevent.signal_handler(signal.SIGHUP, lambda: _heed(reload(), daemon, logger))
+        gevent.signal_handler(number, stop_requested.set)
+    gevent.signal_handler(signal.SIGHUP, lambda: _apply_settings(reload_settings(), daemon, logger))
     daemon.start()
     logger.log("program", "started", address=daemon.runner.mesh.address)
-    stopped.wait()
+    stop_requested.wait()
     daemon.stop()
     logger.log("program", "stopped")
 
 
-def _heed(place: ProcessSettings | None, daemon: Daemon, logger: StructuredLogger) -> None:
-    if place is not None:
-        logger.set_level(place.level)
-        daemon.runner.inbox.put(SettingsChanged(tuple(place.seeds), place.pace))
+def _apply_settings(
+    settings: ProcessSettings | None, daemon: Daemon, logger: StructuredLogger
+) -> None:
+    if settings is not None:
+        logger.set_level(settings.level)
+        daemon.runner.inbox.put(SettingsChanged(tuple(settings.seeds), settings.pace))
--- a/src/willowpost/shell/settings.py
+++ b/src/willowpost/shell/settings.py
@@ -1,11 +1,12 @@
 """A process's settings, from a file and command-line flags.
 
-All findings are reported together, each with its place.
+All issues are reported together, each with the path of its field.
 """
 
 import json
 import re
-from typing import Annotated, Literal
+from collections.abc import Mapping
+from typing import Annotated, Any, Literal
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator
 from result import Err, Ok, Result
@@ -13,36 +14,42 @@
 from willowpost.common.clock import MILLISECOND
 from willowpost.consensus.replica.replica_state import ReplicaTuning
 from willowpost.shell.process_settings import ProcessSettings
+from willowpost.shell.validation import validation_issues
+from willowpost.shell.validation_issue import ValidationIssue
 
 Address = Annotated[str, Field(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
 
+DECISION_COUNTS = frozenset({"keep", "rotate"})  # of PaceSettings; the others are milliseconds
+MAX_PORT = 65535
+MAX_OCTET = 255
+
 
 class PaceSettings(BaseModel):
     """A store's timing: milliseconds, but `keep` and `rotate` count decisions."""
 
     model_config = ConfigDict(extra="forbid")
-    resend: int = Field(60, ge=5, le=5000)
-    freeze: int = Field(0, ge=0, le=500)
-    synced_index: int = Field(100, ge=10, le=5000)
-    ask: int = Field(40, ge=5, le=5000)
-    read: int = Field(150, ge=20, le=1000)
-    hello: int = Field(200, ge=20, le=5000)
-    keep: int = Field(512, ge=16)
-    rotate: int = Field(2048, ge=16)
-
-    def micros(self) -> ReplicaTuning:
-        """The timing in µs, as the replica takes it."""
+    resend: Annotated[int, Field(ge=5, le=5000)] = 60
+    freeze: Annotated[int, Field(ge=0, le=500)] = 0
+    synced_index: Annotated[int, Field(ge=10, le=5000)] = 100
+    ask: Annotated[int, Field(ge=5, le=5000)] = 40
+    read: Annotated[int, Field(ge=20, le=1000)] = 150
+    hello: Annotated[int, Field(ge=20, le=5000)] = 200
+    keep: Annotated[int, Field(ge=16)] = 512
+    rotate: Annotated[int, Field(ge=16)] = 2048
+
+    def to_tuning(self) -> ReplicaTuning:
+        """Return the timing in µs, as the replica takes it."""
         return ReplicaTuning(
             **{
-                name: value * (1 if name in ("keep", "rotate") else MILLISECOND)
+                name: value if name in DECISION_COUNTS else value * MILLISECOND
                 for name, value in self.model_dump().items()
             }
         )
 
 
 class DaemonSettings(BaseModel):
-    """The settings of one process, as an operator writes them; unknown names are refused."""
+    """The settings of one process, as an operator writes them; unknown names are rejected."""
 
     model_config = ConfigDict(extra="forbid")
     name: Name
@@ -52,60 +59,65 @@
     http: Address | None = None
     role: Literal["edge", "shield", "core"] = "core"
     data: str | None = None
-    voters: int = Field(5, ge=3, le=9)
-    max_voters: int = Field(0, ge=0, le=9)
+    voters: Annotated[int, Field(ge=3, le=9)] = 5
+    max_voters: Annotated[int, Field(ge=0, le=9)] = 0
     may_bootstrap: bool = True
     bootstrap_from_seeds: bool = False
     regions: dict[Name, Name] = {}
     health: Address | None = None
     metrics: Address | None = None
-    serve_on_ms: int = Field(1500, ge=500, le=3_600_000)
-    link_mbps: float | None = Field(None, gt=0)
-    drain_ms: int = Field(3000, ge=0, le=60_000)
-    finish_ms: int = Field(30_000, ge=0, le=600_000)
-    leave_ms: int = Field(1500, ge=0, le=10_000)
+    serve_on_ms: Annotated[int, Field(ge=500, le=3_600_000)] = 1500
+    link_mbps: Annotated[float, Field(gt=0)] | None = None
+    drain_ms: Annotated[int, Field(ge=0, le=60_000)] = 3000
+    finish_ms: Annotated[int, Field(ge=0, le=600_000)] = 30_000
+    leave_ms: Annotated[int, Field(ge=0, le=10_000)] = 1500
     pace: PaceSettings = PaceSettings()
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
-    @field_validator("address", "http", "health", "metrics", "seeds")
+    @field_validator("address", "http", "health", "metrics")
+    @classmethod
+    def _check_address(cls, address: str | None) -> str | None:
+        if address is not None:
+            _require_in_range(address)
+        return address
+
+    @field_validator("seeds")
     @classmethod
-    def _number(cls, value):
-        for address in [] if value is None else value if isinstance(value, list) else [value]:
-            host, port = address.rsplit(":", 1)
-            if (
-                not re.fullmatch(r"\d+", port)
-                or not 0 < int(port) < 65536
-                or any(int(part) > 255 for part in host.split("."))
-            ):
-                raise ValueError(f"{address} is not an IP address with a port")
-        return value
+    def _check_seeds(cls, seeds: list[str]) -> list[str]:
+        for address in seeds:
+            _require_in_range(address)
+        return seeds
 
     @field_validator("voters", "max_voters")
     @classmethod
-    def _odd(cls, value):
-        if value % 2 == 0 and value:
+    def _check_voter_count(cls, count: int) -> int:
+        if count % 2 == 0 and count:
             raise ValueError("an even count of voters bears no more than the odd one below it")
-        return value
+        return count
 
-    def place(self) -> ProcessSettings:
-        """The settings as plain data."""
-        held = {name: getattr(self, name) for name in type(self).model_fields}
-        return ProcessSettings(**{**held, "seeds": tuple(self.seeds), "pace": self.pace.micros()})
+    def to_process_settings(self) -> ProcessSettings:
+        """Return the settings as plain data."""
+        values = {name: getattr(self, name) for name in type(self).model_fields}
+        converted = {"seeds": tuple(self.seeds), "pace": self.pace.to_tuning()}
+        return ProcessSettings(**{**values, **converted})
 
 
-def findings_of(error: ValidationError) -> list[dict]:
-    """What a model found wrong, each with its place."""
-    return [
-        {"place": "/".join(map(str, finding["loc"])) or "/", "finding": finding["msg"]}
-        for finding in error.errors()
-    ]
+def _require_in_range(address: str) -> None:
+    """Raise ValueError for an address whose numbers are out of range."""
+    host, port = address.rsplit(":", 1)
+    if (
+        not re.fullmatch(r"\d+", port)
+        or not 0 < int(port) <= MAX_PORT
+        or any(int(octet) > MAX_OCTET for octet in host.split("."))
+    ):
+        raise ValueError(f"{address} is not an IP address with a port")
 
 
-def _parse(path: str, text: str):
-    """By the file's ending; raises ValueError."""
+def _parse(path: str, text: str) -> Any:
+    """Read JSON or YAML, by the file's extension; raises ValueError."""
     if not path.endswith((".yaml", ".yml")):
         return json.loads(text)
-    import yaml  # only for who has such a file
+    import yaml  # loaded only for a YAML file
 
     try:
         return yaml.safe_load(text)
@@ -113,37 +125,41 @@
         raise ValueError(str(problem)) from problem
 
 
+def _read_file(path: str) -> Result[dict[str, Any], list[ValidationIssue]]:
+    try:
+        with open(path, encoding="utf-8") as file:
+            values = _parse(path, file.read())
+    except (OSError, ValueError) as problem:
+        return Err([{"place": path, "finding": str(problem)}])
+    if not isinstance(values, dict) or not all(isinstance(name, str) for name in values):
+        return Err([{"place": path, "finding": "not an object of named settings"}])
+    return Ok(values)
+
+
 class SettingsReader:
-    """Reads and checks settings: either all of them, or every finding at once."""
+    """Reads and checks settings: either all of them, or every issue at once."""
 
     def read(
-        self, path: str | None, flags: dict, needs: tuple[str, ...] = ()
-    ) -> Result[DaemonSettings, list[dict]]:
-        """The checked settings, or the findings.
+        self, path: str | None, flags: Mapping[str, Any], required: tuple[str, ...] = ()
+    ) -> Result[DaemonSettings, list[ValidationIssue]]:
+        """Return the checked settings, or the issues.
 
         Args:
-            path: A JSON or YAML file, or None.
-            flags: Command-line flags by field; a value that is not None replaces the file's.
-            needs: Fields that this program requires.
+            path: a JSON or YAML file, or None.
+            flags: command-line flags by field; a value that is not None replaces the file's.
+            required: fields that this program requires.
         """
-        held = {}
-        if path is not None:
-            try:
-                with open(path, encoding="utf-8") as file:
-                    held = _parse(path, file.read())
-            except (OSError, ValueError) as problem:
-                return Err([{"place": path, "finding": str(problem)}])
-            if not isinstance(held, dict) or not all(isinstance(name, str) for name in held):
-                return Err([{"place": path, "finding": "not an object of named settings"}])
+        from_file = Ok({}) if path is None else _read_file(path)
+        if from_file.is_err():
+            return Err(from_file.unwrap_err())
+        given_flags = {name: value for name, value in flags.items() if value is not None}
         try:
-            settings = DaemonSettings(
-                **{**held, **{name: value for name, value in flags.items() if value is not None}}
-            )
+            settings = DaemonSettings(**{**from_file.unwrap(), **given_flags})
         except ValidationError as error:
-            return Err(findings_of(error))
-        missing = [
-            {"place": need, "finding": "needed by this program"}
-            for need in needs
-            if getattr(settings, need) is None
+            return Err(validation_issues(error))
+        missing: list[ValidationIssue] = [
+            {"place": name, "finding": "needed by this program"}
+            for name in required
+            if getattr(settings, name) is None
         ]
         return Err(missing) if missing else Ok(settings)
--- /dev/null
+++ b/src/willowpost/shell/validation.py
@@ -0,0 +1,13 @@
+"""The validation issues of pydantic's models."""
+
+from pydantic import ValidationError
+
+from willowpost.shell.validation_issue import ValidationIssue
+
+
+def validation_issues(error: ValidationError) -> list[ValidationIssue]:
+    """Return all issues that a model found."""
+    return [
+        {"place": "/".join(map(str, issue["loc"])) or "/", "finding": issue["msg"]}
+        for issue in error.errors()
+    ]
--- a/src/willowpost/shell/web.py
+++ b/src/willowpost/shell/web.py
@@ -1,28 +1,35 @@
 """JSON over gevent's WSGI server for operators and origins, with a table of routes."""
 
 import json
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any
 
 from gevent import socket
 from gevent.pool import Pool
 
+from willowpost.common.errors import WillowpostError
 from willowpost.common.import_guard import blocked_imports
-from willowpost.shell.mesh import split
+from willowpost.shell.addresses import split_address
+from willowpost.shell.structured_log import StructuredLogger
 
-# http.client takes it if it is there; nothing here speaks TLS, and it costs 4 MB
+# http.client takes it if it is there; nothing here uses TLS, and it costs 4 MB.
 with blocked_imports("ssl"):
     from gevent.pywsgi import Input as Input
     from gevent.pywsgi import WSGIHandler, WSGIServer
 
-# A peer that vanishes without a word (no power, a cut) is noticed within 30 s, whether it owes an
-# acknowledgement or the connection rests.
-VANISHED = (
-    ((socket.SOL_SOCKET, socket.SO_KEEPALIVE), 1),
-    ((socket.IPPROTO_TCP, socket.TCP_KEEPIDLE), 15),
-    ((socket.IPPROTO_TCP, socket.TCP_KEEPINTVL), 5),
-    ((socket.IPPROTO_TCP, socket.TCP_KEEPCNT), 3),
-    ((socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT), 15_000),
-)
+# A peer that vanishes without closing (power loss, partition) is noticed within 30 s, whether it
+# owes an acknowledgement or the connection is idle: (level, option) -> value.
+KEEPALIVE_OPTIONS = {
+    (socket.SOL_SOCKET, socket.SO_KEEPALIVE): 1,
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE): 15,
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL): 5,
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT): 3,
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT): 15_000,
+}
+MAX_CONNECTIONS = 4096
+STOP_TIMEOUT_SECONDS = 5.0
+ANY_SEGMENT = "*"  # of a route's path; becomes a parameter of the request
 REASONS = {
     200: "OK",
     201: "Created",
@@ -43,174 +50,250 @@
     504: "Gateway Timeout",
 }
 
+Environ = dict[str, Any]
+
 
 def status_line(code: int) -> str:
-    """Code and reason phrase of a status line."""
+    """Return code and reason phrase of a status line."""
     return f"{code} {REASONS.get(code, 'Status')}"
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """An answer with a JSON value, or without a body."""
+class Response:
+    """A response with a JSON value.
+
+    Attributes:
+        code: the status code.
+        value: the JSON value; None: no body.
+        headers: (name, value) of further headers.
+    """
 
     code: int
-    value: object = None
-    headers: tuple = ()
+    value: Any = None
+    headers: tuple[tuple[str, str], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """A call as it came: headers in lower case, `params` for each "*" of its path."""
+class Request:
+    """A request as it came.
+
+    Attributes:
+        method: the HTTP method.
+        path: without the query.
+        query: what follows "?"; empty: none.
+        headers: by name in lower case.
+        body: the whole body.
+        params: the path's segments that match a "*" of the route.
+    """
 
     method: str
     path: str
     query: str
-    headers: dict
+    headers: dict[str, str]
     body: bytes = b""
-    params: tuple = field(default=())
+    params: tuple[str, ...] = ()
 
 
-def reject(code: int, reason: str, after: int = 1, **more) -> Answer:
-    """A final answer, at once: what happened, and when to come back."""
-    return Answer(code, {"reject": reason, **more}, (("Retry-After", str(after)),))
+Handler = Callable[[Request], Response]
 
 
-class BodyTooLarge(Exception):
-    """A body is over what its call takes."""
+@dataclass(frozen=True, slots=True)
+class Route:
+    """One call that a router serves.
+
+    Attributes:
+        method: the HTTP method.
+        segments: of the path; "*" matches any.
+        max_bytes: length of the largest body that it takes.
+        handler: makes the response.
+    """
+
+    method: str
+    segments: tuple[str, ...]
+    max_bytes: int
+    handler: Handler
+
+    def matches(self, segments: tuple[str, ...]) -> bool:
+        """Whether a request's path is this route's."""
+        return len(self.segments) == len(segments) and all(
+            expected in (ANY_SEGMENT, segment)
+            for expected, segment in zip(self.segments, segments, strict=True)
+        )
+
+    def params(self, segments: tuple[str, ...]) -> tuple[str, ...]:
+        """Return the segments that match a "*"."""
+        return tuple(
+            segment
+            for expected, segment in zip(self.segments, segments, strict=True)
+            if expected == ANY_SEGMENT
+        )
+
+
+def reject(code: int, reason: str, after: int = 1, **details: object) -> Response:
+    """Return a final response, at once: what happened, and when to retry.
+
+    Args:
+        code: the status code.
+        reason: what happened.
+        after: seconds until a retry makes sense.
+        details: further members of the JSON object.
+    """
+    return Response(code, {"reject": reason, **details}, (("Retry-After", str(after)),))
+
+
+def invalid(code: int, path: str, message: str) -> Response:
+    """Return a response with one validation issue of the field or call at `path`."""
+    return Response(code, {"findings": [{"place": path, "finding": message}]})
+
 
-    pass
+class BodyTooLargeError(WillowpostError):
+    """A body is over what its call takes."""
 
 
-def read_body(environ, most: int) -> bytes:
-    """A request's body, of which at most `most` bytes are held.
+def read_body(environ: Environ, max_bytes: int) -> bytes:
+    """Return a request's body, of which at most `max_bytes` are read.
 
     Raises:
-        BodyTooLarge: It is larger.
-        EOFError: It ended short.
+        BodyTooLargeError: it is larger.
+        EOFError: it ended short.
     """
     length = environ.get("CONTENT_LENGTH")
     if length:
-        if int(length) > most:
-            raise BodyTooLarge
-        body = environ["wsgi.input"].read(int(length))
-        if len(body) < int(length):
-            raise EOFError("the body ended short")
-        return body
+        return _read_sized_body(environ["wsgi.input"], int(length), max_bytes)
     if environ.get("HTTP_TRANSFER_ENCODING"):
-        body = environ["wsgi.input"].read(most + 1)
-        if len(body) > most:
-            raise BodyTooLarge
+        body: bytes = environ["wsgi.input"].read(max_bytes + 1)
+        if len(body) > max_bytes:
+            raise BodyTooLargeError
         return body
     return b""
 
 
+def _read_sized_body(stream: Any, length: int, max_bytes: int) -> bytes:
+    if length > max_bytes:
+        raise BodyTooLargeError
+    body: bytes = stream.read(length)
+    if len(body) < length:
+        raise EOFError("the body ended short")
+    return body
+
+
+def _never() -> bool:
+    return False
+
+
 class Router:
     """A WSGI application with a table of routes.
 
     Args:
-        routes: (method, path, largest body in bytes, handler) each; "*" in a path matches any part,
-            which becomes a parameter of the call.
-        logs: Where log lines go.
-        closing: Whether connections should be closed after the response.
+        routes: (method, path, largest body in bytes, handler) each; "*" in a path matches any
+            segment, which becomes a parameter of the request.
+        logger: where log lines go.
+        is_closing: whether connections should be closed after the response.
+
+    Attributes:
+        in_flight: how many requests are being served; kept by `CountingHandler`.
     """
 
-    def __init__(self, routes, logger, closing=lambda: False):
+    def __init__(
+        self,
+        routes: Iterable[tuple[str, str, int, Handler]],
+        logger: StructuredLogger,
+        is_closing: Callable[[], bool] = _never,
+    ) -> None:
         self.in_flight = 0
-        self.closing = closing  # () -> whether connections should not be kept
+        self.is_closing = is_closing
         self.routes = tuple(
-            (method, tuple(path.strip("/").split("/")), most, handler)
-            for method, path, most, handler in routes
+            Route(method, _segments(path), max_bytes, handler)
+            for method, path, max_bytes, handler in routes
         )
         self.logger = logger
 
-    def __call__(self, environ, start_response):
-        """Answer one call (WSGI)."""
-        try:
-            answer = self._answer(environ)
-        except BodyTooLarge:
-            answer = Answer(413, {"findings": [{"place": "/", "finding": "body too large"}]})
-        except (EOFError, ValueError, OSError):
-            answer = Answer(400, {"findings": [{"place": "/", "finding": "malformed request"}]})
-        except Exception as problem:  # a bug must not look like a success, nor hold the caller
-            self.logger.log("web", "call broke down", level="error", problem=repr(problem))
-            answer = reject(500, "broke down")
-        body = b"" if answer.value is None else json.dumps(answer.value).encode() + b"\n"
+    def __call__(self, environ: Environ, start_response: Any) -> list[bytes]:
+        """Respond to one request (WSGI)."""
+        response = self._respond(environ)
+        body = b"" if response.value is None else json.dumps(response.value).encode() + b"\n"
         start_response(
-            status_line(answer.code),
+            status_line(response.code),
             [
                 ("Content-Type", "application/json"),
                 ("Content-Length", str(len(body))),
-                *answer.headers,
-                *([("Connection", "close")] if self.closing() else []),
+                *response.headers,
+                *([("Connection", "close")] if self.is_closing() else []),
             ],
         )
         return [body]
 
-    def _answer(self, environ):
-        parts = tuple(environ["PATH_INFO"].strip("/").split("/"))
-        fits = [
-            (method, path, most, handler)
-            for method, path, most, handler in self.routes
-            if len(path) == len(parts)
-            and all(want in ("*", part) for want, part in zip(path, parts, strict=False))
-        ]
-        if not fits:
-            return Answer(
-                404, {"findings": [{"place": environ["PATH_INFO"], "finding": "no such call"}]}
-            )
-        chosen_route = next(
-            (route for route in fits if route[0] == environ["REQUEST_METHOD"]), None
-        )
-        if chosen_route is None:
-            return Answer(
-                405,
-                {"findings": [{"place": environ["PATH_INFO"], "finding": "no such method"}]},
-                (("Allow", ", ".join(sorted({route[0] for route in fits}))),),
-            )
-        _, path, most, handler = chosen_route
-        headers = {
-            name[5:].replace("_", "-").lower(): value
-            for name, value in environ.items()
-            if name.startswith("HTTP_")
-        }
-        params = tuple(part for want, part in zip(path, parts, strict=False) if want == "*")
-        return handler(
-            Call(
-                environ["REQUEST_METHOD"],
-                environ["PATH_INFO"],
+    def _respond(self, environ: Environ) -> Response:
+        """Return the response, whatever goes wrong."""
+        try:
+            return self._dispatch(environ)
+        except BodyTooLargeError:
+            return invalid(413, "/", "body too large")
+        except (EOFError, ValueError, OSError):
+            return invalid(400, "/", "malformed request")
+        # The request's last line: a bug must not look like a success, nor keep the caller waiting.
+        except Exception as problem:
+            self.logger.log("web", "request failed", level="error", problem=repr(problem))
+            return reject(500, "broke down")
+
+    def _dispatch(self, environ: Environ) -> Response:
+        method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
+        segments = _segments(path)
+        candidates = [route for route in self.routes if route.matches(segments)]
+        if not candidates:
+            return invalid(404, path, "no such call")
+        route = next((route for route in candidates if route.method == method), None)
+        if route is None:
+            allowed = ", ".join(sorted({route.method for route in candidates}))
+            value = invalid(405, path, "no such method").value
+            return Response(405, value, (("Allow", allowed),))
+        return route.handler(
+            Request(
+                method,
+                path,
                 environ.get("QUERY_STRING", ""),
-                headers,
-                read_body(environ, most),
-                params,
+                _headers(environ),
+                read_body(environ, route.max_bytes),
+                route.params(segments),
             )
         )
 
 
-class QuietHandler(WSGIHandler):
+def _segments(path: str) -> tuple[str, ...]:
+    return tuple(path.strip("/").split("/"))
+
+
+def _headers(environ: Environ) -> dict[str, str]:
+    return {
+        name[5:].replace("_", "-").lower(): value
+        for name, value in environ.items()
+        if name.startswith("HTTP_")
+    }
+
+
+class QuietHandler(WSGIHandler):  # type: ignore[misc]  # the library has no types
     """A handler without Nagle's delay and without request logs."""
 
-    def __init__(self, sock, address, server, rfile=None):
+    def __init__(self, sock: Any, address: Any, server: Any, rfile: Any = None) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().__init__(sock, address, server, rfile)
 
-    def get_environ(self):
-        """The handler's environment, with the connection itself."""
+    def get_environ(self) -> Environ:
+        """Return the handler's environment, with the connection itself."""
         return {**super().get_environ(), "wp.socket": self.socket}
 
-    def log_request(self):
+    def log_request(self) -> None:
         """Log no request: logs are made where something is decided."""
-        pass
 
-    def log_error(self, msg, *args):
-        """Log no error: the router says what broke down."""
-        pass
+    def log_error(self, msg: str, *args: object) -> None:
+        """Log no error: the router logs what failed."""
 
 
 class CountingHandler(QuietHandler):
-    """A handler that counts a call as in flight until the last byte of its response is sent."""
+    """A handler that counts a request as in flight until the last byte of its response is sent."""
 
-    def handle_one_response(self):
-        """Answer one call, counted as under way."""
+    def handle_one_response(self) -> Any:
+        """Respond to one request, counted as in flight."""
         self.server.application.in_flight += 1
         try:
             return super().handle_one_response()
@@ -219,25 +302,38 @@
 
 
 class WebServer:
-    """Serves an application at an address, with at most `most` connections."""
+    """Serves an application at an address.
+
+    Args:
+        address: `host:port` to listen at.
+        application: a WSGI application.
+        handler: gevent's handler class for its connections.
+        max_connections: further ones wait.
+    """
 
-    def __init__(self, address: str, application, handler=QuietHandler, most: int = 4096):
+    def __init__(
+        self,
+        address: str,
+        application: Any,
+        handler: type = QuietHandler,
+        max_connections: int = MAX_CONNECTIONS,
+    ) -> None:
         self.server = WSGIServer(
-            split(address),
+            split_address(address),
             application,
             handler_class=handler,
             log=None,
             error_log=None,
-            spawn=Pool(most),
+            spawn=Pool(max_connections),
         )
 
     def start(self) -> None:
-        """Begin to listen; connections take over the options of the listening socket."""
+        """Start to listen; connections inherit the options of the listening socket."""
         self.server.init_socket()
-        for option, value in VANISHED:
-            self.server.socket.setsockopt(*option, value)
+        for (level, option), value in KEEPALIVE_OPTIONS.items():
+            self.server.socket.setsockopt(level, option, value)
         self.server.start()
 
-    def stop(self, seconds: float = 5) -> None:
-        """Closes the socket and gives calls in flight so many seconds to end."""
+    def stop(self, seconds: float = STOP_TIMEOUT_SECONDS) -> None:
+        """Close the socket and give requests in flight so many seconds to end."""
         self.server.stop(timeout=seconds)
--- a/tests/common/test_import_footprint.py
+++ b/tests/common/test_import_footprint.py
@@ -44,7 +44,7 @@
 
     def test_the_parser_alone_is_the_librarys_own(self):
         asked = """import sys
-from willowpost.shell.parsing import HTTPParseError, HTTPResponseParser
+from willowpost.shell.http_parser import HTTPParseError, HTTPResponseParser
 assert "ssl" not in sys.modules and "geventhttpclient" not in sys.modules
 from geventhttpclient.response import HTTPParseError as theirs, HTTPResponse
 assert theirs is HTTPParseError and issubclass(HTTPResponse, HTTPResponseParser)"""
--- a/tests/shell/test_disk.py
+++ b/tests/shell/test_disk.py
@@ -14,7 +14,7 @@
 from willowpost.shell.disk import Disk
 from willowpost.shell.retrying_disk import RetryingDisk
 from willowpost.shell.runner import Runner
-from willowpost.shell.segment_format import DiskDamagedError, batch_of, parse
+from willowpost.shell.segment_format import DiskDamagedError, encode_batch, parse_segment
 
 
 class DiskTests(unittest.TestCase):
@@ -30,7 +30,7 @@
     def test_what_was_appended_comes_back_after_a_torn_tail_at_every_byte(self):
         self.disk.append([{"k": "decision", "slot": 0}])
         whole = open(self._path(), "rb").read()
-        extra = batch_of([{"k": "decision", "slot": 1}, {"k": "passed", "epoch": 2}])
+        extra = encode_batch([{"k": "decision", "slot": 1}, {"k": "passed", "epoch": 2}])
         for cut in range(len(extra)):
             with open(self._path(), "wb") as file:
                 file.write(whole + extra[:cut])
@@ -60,7 +60,9 @@
     def test_a_torn_batch_is_cut_whatever_part_of_it_came_to_the_disk(self):
         """A write of several pages may lose any of them; nothing of the batch was ever told."""
         whole = open(self._path(), "rb").read()
-        batch = batch_of([{"k": "decision", "slot": slot, "key": "x" * 50} for slot in range(20)])
+        batch = encode_batch(
+            [{"k": "decision", "slot": slot, "key": "x" * 50} for slot in range(20)]
+        )
         page = 64
         for missing in range(0, len(batch), page):
             zeros = b"\0" * len(batch[missing : missing + page])
@@ -82,7 +84,7 @@
         for moment in (1, 2):
             disk = Disk(os.path.join(self.folder.name, "store"))
             disk.rotate([{"k": "identity"}])
-            aside = disk.set_aside(moment)
+            aside = disk.quarantine(moment)
         self.assertEqual(
             [os.path.basename(aside)],
             [name for name in os.listdir(self.folder.name) if name.startswith("store")],
@@ -109,7 +111,7 @@
         """What a restart would find, read without touching the folder."""
         name = sorted(name for name in os.listdir(self.disk.folder) if name.endswith(".wp"))[-1]
         with open(os.path.join(self.disk.folder, name), "rb") as file:
-            records, sound = parse(file.read())
+            records, sound = parse_segment(file.read())
             self.assertEqual(sound, file.tell(), "something half written stayed")
         return [record.get("slot") for record in records]
 
--- a/tests/shell/test_mesh.py
+++ b/tests/shell/test_mesh.py
@@ -13,8 +13,8 @@
 from gevent import socket
 
 from willowpost.shell import mesh as mesh_module
-from willowpost.shell.mesh import HEAD, HELD_MOST_MS, QUEUE_BYTES_MOST, Mesh
-from willowpost.shell.sized_queue import INBOX_BYTES_MOST, INBOX_MESSAGES_MOST, SizedQueue, inbox
+from willowpost.shell.mesh import FRAME_HEADER, MAX_QUEUE_BYTES, MAX_UNACKNOWLEDGED_MS, Mesh
+from willowpost.shell.sized_queue import MAX_INBOX_BYTES, MAX_INBOX_EVENTS, SizedQueue, create_inbox
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import BallotState, Command, SyncedIndex
 
@@ -23,7 +23,7 @@
     with plain.socket() as free:
         free.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{free.getsockname()[1]}"
-    held = Mesh(address, inbox())
+    held = Mesh(address, create_inbox())
     held.start()
     return held
 
@@ -32,7 +32,7 @@
     """Notes the slot of each message that comes in, in the order of all that share `slots`."""
 
     def __init__(self, slots):
-        super().__init__(INBOX_MESSAGES_MOST, INBOX_BYTES_MOST)
+        super().__init__(MAX_INBOX_EVENTS, MAX_INBOX_BYTES)
         self.slots = slots
 
     def offer(self, item, size):
@@ -65,7 +65,7 @@
     def test_junk_ends_its_connection_and_nothing_of_it_comes_in(self):
         chance = random.Random(7)
         frame = Codec().encode("x", SyncedIndex("s", 1))
-        whole = HEAD.pack(len(frame), zlib.crc32(frame)) + frame
+        whole = FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame
         for number in range(200):
             junk = bytearray(whole)
             if number % 4 == 0:
@@ -76,7 +76,7 @@
                 junk = junk[: chance.randrange(1, len(junk))]
             else:  # with a checksum that fits
                 body = chance.randbytes(chance.randrange(1, 200))
-                junk = bytearray(HEAD.pack(len(body), zlib.crc32(body)) + body)
+                junk = bytearray(FRAME_HEADER.pack(len(body), zlib.crc32(body)) + body)
             with self.raw() as connection:
                 connection.sendall(bytes(junk))
                 connection.shutdown(socket.SHUT_WR)
@@ -95,14 +95,14 @@
         self.assertGreater(taken, 10)
 
     def test_a_node_that_waits_is_not_buried(self):
-        for _ in range(INBOX_MESSAGES_MOST):
+        for _ in range(MAX_INBOX_EVENTS):
             self.here.inbox.put(None)
         with self.raw() as connection:
             frame = Codec().encode("x", SyncedIndex("s", 1))
-            connection.sendall((HEAD.pack(len(frame), zlib.crc32(frame)) + frame) * 100)
+            connection.sendall((FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame) * 100)
             connection.shutdown(socket.SHUT_WR)
             connection.recv(1)
-        self.assertEqual(INBOX_MESSAGES_MOST, self.here.inbox.qsize())
+        self.assertEqual(MAX_INBOX_EVENTS, self.here.inbox.qsize())
 
     def test_frames_of_a_node_that_waits_are_bounded_in_bytes(self):
         """A stalled disk holds the node; peers send ballot states with whole configurations."""
@@ -110,14 +110,14 @@
         frame = Codec().encode("x", BallotState("s", 1, 1, command.key, command))
         with self.raw() as connection:
             for _ in range(40):
-                connection.sendall(HEAD.pack(len(frame), zlib.crc32(frame)) + frame)
+                connection.sendall(FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame)
             connection.shutdown(socket.SHUT_WR)
             connection.recv(1)
         held = self.here.inbox
-        self.assertEqual((True, 31), (held.bytes <= INBOX_BYTES_MOST, held.qsize()))
+        self.assertEqual((True, 31), (held.size_bytes <= MAX_INBOX_BYTES, held.qsize()))
         while not held.empty():
             held.get()
-        self.assertEqual(0, held.bytes)
+        self.assertEqual(0, held.size_bytes)
 
     def test_frames_to_a_peer_that_does_not_read_are_bounded_in_bytes(self):
         command = Command("r", 1, 1, 1, "x" * 1024 * 1024)
@@ -127,7 +127,7 @@
             address = f"127.0.0.1:{silent.getsockname()[1]}"
             for number in range(60):
                 self.here.send(address, BallotState("s", 1, number, command.key, command))
-            self.assertLessEqual(self.here.lines[address].bytes, QUEUE_BYTES_MOST)
+            self.assertLessEqual(self.here.queues[address].size_bytes, MAX_QUEUE_BYTES)
 
     def test_frames_to_many_peers_that_do_not_read_are_bounded_together(self):
         """Each peer has room of its own; a hundred of them must not add up to a process's memory."""
@@ -143,10 +143,10 @@
             for peer in peers:
                 self.here.send(peer, BallotState("s", 1, 1, large.key, large))
             gevent.sleep(0)
-        self.assertLessEqual(self.here.queued_bytes(), mesh_module.QUEUES_BYTES_MOST)
+        self.assertLessEqual(self.here.queued_bytes(), mesh_module.MAX_ALL_QUEUES_BYTES)
 
     def test_frames_that_waited_for_too_long_are_dropped(self):
-        with mock.patch.object(mesh_module, "QUEUED_MOST_SECONDS", -1.0):
+        with mock.patch.object(mesh_module, "MAX_QUEUED_SECONDS", -1.0):
             self.here.send(self.there.address, SyncedIndex("s", 1))
             with self.assertRaises(gevent.queue.Empty):
                 self.there.inbox.get(timeout=0.3)
@@ -166,7 +166,7 @@
     def test_handles_that_run_out_on_either_side_are_waited_for(self):
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         self.assertTrue(self.came(1))
-        del self.there.lines[self.here.address]  # a new connection is needed
+        del self.there.queues[self.here.address]  # a new connection is needed
         held = []
         resource.setrlimit(resource.RLIMIT_NOFILE, (len(os.listdir("/proc/self/fd")) + 8, hard))
         try:
@@ -194,9 +194,9 @@
             mesh_module.socket, "socket", lambda *args: made.append(make(*args)) or made[-1]
         ):
             self.assertTrue(self.came(5))
-        self.assertLessEqual(HELD_MOST_MS, 1500)
+        self.assertLessEqual(MAX_UNACKNOWLEDGED_MS, 1500)
         self.assertEqual(
-            [HELD_MOST_MS],
+            [MAX_UNACKNOWLEDGED_MS],
             [held.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) for held in made],
         )
 
@@ -229,7 +229,7 @@
 
     def test_half_a_frame_holds_up_no_other_connection_and_never_comes_in(self):
         frame = Codec().encode("x", SyncedIndex("s", 7))
-        whole = HEAD.pack(len(frame), zlib.crc32(frame)) + frame
+        whole = FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame
         with self.raw() as stuck:
             stuck.sendall(whole[:-1])
             self.assertTrue(self.came(8))
--- a/tests/shell/test_settings_reload.py
+++ b/tests/shell/test_settings_reload.py
@@ -46,7 +46,7 @@
     def read(self, **changes):
         with open(self.path, "w") as file:
             json.dump({**HELD, **changes}, file)
-        return self.reload.step()
+        return self.reload.reload()
 
     def last(self):
         return json.loads(self.said.getvalue().strip().splitlines()[-1])
@@ -68,12 +68,14 @@
         self.assertEqual(
             {"level", "zone", "nonsense"}, {finding["place"] for finding in read.unwrap_err()}
         )
-        self.assertEqual((HELD["seeds"], "ERROR"), (self.reload.held.seeds, self.last()["level"]))
+        self.assertEqual(
+            (HELD["seeds"], "ERROR"), (self.reload.settings.seeds, self.last()["level"])
+        )
         with open(self.path, "w") as file:
             file.write("{")
-        self.assertTrue(self.reload.step().is_err())
+        self.assertTrue(self.reload.reload().is_err())
         os.unlink(self.path)
-        self.assertTrue(self.reload.step().is_err())
+        self.assertTrue(self.reload.reload().is_err())
 
 
 class Files(unittest.TestCase):
@@ -100,7 +102,7 @@
 pace: {resend: 30}
 """
         for name in ("settings.yaml", "settings.yml"):
-            place = self.read(name, text).unwrap().place()
+            place = self.read(name, text).unwrap().to_process_settings()
             self.assertEqual(
                 (3, False, {"a": "north", "b": "south"}, 60_000, 30 * MILLISECOND),
                 (
@@ -112,11 +114,14 @@
                 ),
             )
             self.assertEqual(
-                place, self.read("settings.json", json.dumps(yaml.safe_load(text))).unwrap().place()
+                place,
+                self.read("settings.json", json.dumps(yaml.safe_load(text)))
+                .unwrap()
+                .to_process_settings(),
             )
             self.assertEqual(
                 (2500 * MILLISECOND, 30_000 * MILLISECOND),
-                (place.spans().drain, place.spans().finish),
+                (place.shutdown_timeouts().drain, place.shutdown_timeouts().finish),
             )
 
     def test_findings_as_before(self):
--- a/tests/shell/test_single_threaded_daemons.py
+++ b/tests/shell/test_single_threaded_daemons.py
@@ -8,13 +8,13 @@
 import os
 import gevent
 from willowpost.shell.mesh import Mesh
-from willowpost.shell.sized_queue import inbox as make_inbox
+from willowpost.shell.sized_queue import create_inbox
 from willowpost.wire.messages import OriginHeartbeat
 
 def threads():
     return len(os.listdir("/proc/self/task"))
 
-inbox = make_inbox()
+inbox = create_inbox()
 first, second = Mesh("127.0.0.1:0", inbox), Mesh("127.0.0.1:0", inbox)
 for mesh in (first, second):
     mesh.start()
