--- a/src/willowpost/configuration/checker.py
+++ b/src/willowpost/configuration/checker.py
@@ -1,7 +1,4 @@
-"""Checks a configuration as a whole: all findings, each with its place.
-
-Or the configuration as plain data.
-"""
+"""Checks a configuration: returns it as plain data, or all validation issues at once."""
 
 import json
 from collections import Counter
@@ -12,58 +9,73 @@
 from result import Err, Ok, Result
 
 from willowpost.common.gc_pause import paused_gc
-from willowpost.configuration.model import CONFIGURATION, SERVICE
-from willowpost.configuration.routes import DEPTH_MOST, ROUTES_MOST, trunk_of, walk
+from willowpost.configuration.model import CONFIGURATION_ADAPTER, SERVICE_DEFAULTS
+from willowpost.configuration.routes import (
+    MAX_DEPTH,
+    MAX_ROUTES,
+    WalkedBranch,
+    path_prefix,
+    walk_branches,
+)
 from willowpost.shell.validation import validation_issues
+from willowpost.shell.validation_issue import ValidationIssue
+
+MAX_CONFIGURATION_BYTES = 4 * 1024 * 1024
 
-BYTES_MOST = 4 * 1024 * 1024
-Findings = list[ValidationIssue]
+Issues = list[ValidationIssue]
 
 
-def once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """For JSON objects: a name that is said twice is refused.
+def object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Make a JSON object of its members; readers differ in which of two equal names they take.
 
-    Since readers differ in which one they take.
+    Raises:
+        ValueError: a name occurs twice.
     """
-    held = dict(pairs)
-    if len(held) < len(pairs):
+    members = dict(pairs)
+    if len(members) < len(pairs):
         counts = Counter(name for name, _ in pairs)
-        twice = sorted(name for name, count in counts.items() if count > 1)
-        raise ValueError(f"names said twice: {', '.join(twice)}")
-    return held
+        duplicates = sorted(name for name, count in counts.items() if count > 1)
+        raise ValueError(f"names said twice: {', '.join(duplicates)}")
+    return members
+
 
+def _reject_constant(name: str) -> NoReturn:
+    raise ValueError(f"{name} is no JSON number")
 
-def _said(held: Mapping[str, Any]) -> dict[str, Any]:
-    return {name: value for name, value in held.items() if value is not None}
+
+def _without_nulls(values: Mapping[str, Any]) -> dict[str, Any]:
+    return {name: value for name, value in values.items() if value is not None}
 
 
 class ConfigurationChecker:
-    """Invariant: only what comes back as Ok may be proposed to the log."""
+    """Checks configurations; only what comes back as Ok may be proposed to the log."""
 
-    def read(self, body: bytes) -> Result[object, Findings]:
-        """The JSON alone: no name twice in an object, no NaN."""
+    def read(self, body: bytes) -> Result[object, Issues]:
+        """Parse the JSON alone: no name twice in an object, no NaN."""
         try:
             return Ok(
                 json.loads(
-                    body.decode("utf-8"), object_pairs_hook=once, parse_constant=self._refuse
+                    body.decode("utf-8"),
+                    object_pairs_hook=object_without_duplicates,
+                    parse_constant=_reject_constant,
                 )
             )
         except (ValueError, RecursionError) as problem:
             return Err([{"place": "/", "finding": f"not JSON: {problem}"}])
 
-    def check(self, body: bytes) -> Result[dict[str, Any], Findings]:
-        """The configuration as plain data with all defaults, or every finding with its place."""
+    def check(self, body: bytes) -> Result[dict[str, Any], Issues]:
+        """Return the configuration as plain data with all defaults, or every issue."""
         with paused_gc():
             return self.read(body).and_then(self.check_value)
 
-    def check_value(self, held: object) -> Result[dict[str, Any], Findings]:
-        """As check(), for a value that is already parsed."""
+    def check_value(self, value: object) -> Result[dict[str, Any], Issues]:
+        """Do the same as check(), for a value that is already parsed."""
         with paused_gc():
-            return self._judge(held)
+            return self._check(value)
 
-    def _judge(self, held: object) -> Result[dict[str, Any], Findings]:
+    def _check(self, value: object) -> Result[dict[str, Any], Issues]:
         try:
-            configuration = CONFIGURATION.validate_python(held)
+            configuration = CONFIGURATION_ADAPTER.validate_python(value)
         except ValidationError as error:
             return Err(validation_issues(error))
         except RecursionError:
@@ -73,52 +85,70 @@
             "branches": {},
             **configuration,
             "services": {
-                name: SERVICE | _said(service)
+                name: SERVICE_DEFAULTS | _without_nulls(service)
                 for name, service in configuration["services"].items()
             },
-            "limits": _said(configuration.get("limits") or {}),
+            "limits": _without_nulls(configuration.get("limits") or {}),
         }
-        findings = list(self._whole(tree))
-        return Err(findings) if findings else Ok(tree)
-
-    def _refuse(self, name: str) -> NoReturn:
-        raise ValueError(f"{name} is no JSON number")
-
-    def _whole(self, tree: dict[str, Any]) -> Iterator[dict[str, str]]:
-        branches = list(walk(tree))
-        if len(branches) > ROUTES_MOST:
-            yield {"place": "branches", "finding": f"more than {ROUTES_MOST} branches"}
-        places: dict[tuple[str, str], str] = {}
-        yield from self._targets("", tree["settings"], tree["services"])
-        for place, depth, host, path, settings, branch in branches:
-            if depth > DEPTH_MOST:
-                yield {"place": place, "finding": f"deeper than {DEPTH_MOST} branches"}
-            yield from self._targets(f"{place}/", branch.get("settings") or {}, tree["services"])
-            if path is not None and settings.get("service") is None and not branch.get("branches"):
-                yield {"place": place, "finding": "a route without a service"}
-            if path is None and not branch.get("branches"):
-                yield {"place": place, "finding": "a leaf without a path"}
-            if path is not None and settings.get("service"):
-                first = places.setdefault((host, trunk_of(path)), place)
-                own_place = branch.get("path") is not None or branch.get("host") is not None
-                if first != place and own_place:
-                    yield {"place": place, "finding": f"the same host and path as {first}"}
-
-    def _targets(
-        self, place: str, settings: dict[str, Any], services: dict[str, Any]
-    ) -> Iterator[dict[str, str]]:
-        """Where these settings themselves send requests.
-
-        Each finding stands where the service is said.
-        """
-        if settings.get("service") is not None and settings["service"] not in services:
+        issues = list(_tree_issues(tree))
+        return Err(issues) if issues else Ok(tree)
+
+
+def _tree_issues(tree: dict[str, Any]) -> Iterator[ValidationIssue]:
+    """Yield what is wrong with a tree whose single fields are valid."""
+    services = tree["services"]
+    branches = list(walk_branches(tree))
+    if len(branches) > MAX_ROUTES:
+        yield {"place": "branches", "finding": f"more than {MAX_ROUTES} branches"}
+    yield from _service_issues("", tree["settings"], services)
+    first_locations: dict[tuple[str, str], str] = {}
+    for walked in branches:
+        if walked.depth > MAX_DEPTH:
+            yield {"place": walked.location, "finding": f"deeper than {MAX_DEPTH} branches"}
+        own_settings = walked.branch.get("settings") or {}
+        yield from _service_issues(f"{walked.location}/", own_settings, services)
+        yield from _leaf_issues(walked)
+        yield from _duplicate_issues(walked, first_locations)
+
+
+def _leaf_issues(walked: WalkedBranch) -> Iterator[ValidationIssue]:
+    """Yield what a branch without branches below it lacks."""
+    if walked.branch.get("branches"):
+        return
+    if walked.path is None:
+        yield {"place": walked.location, "finding": "a leaf without a path"}
+    elif walked.settings.get("service") is None:
+        yield {"place": walked.location, "finding": "a route without a service"}
+
+
+def _duplicate_issues(
+    walked: WalkedBranch, first_locations: dict[tuple[str, str], str]
+) -> Iterator[ValidationIssue]:
+    """Yield an issue for a second route with the same host and path.
+
+    Args:
+        walked: the branch.
+        first_locations: the first branch of each host and path so far; the branch is added.
+    """
+    if walked.path is None or not walked.settings.get("service"):
+        return
+    key = (walked.host, path_prefix(walked.path))
+    first = first_locations.setdefault(key, walked.location)
+    sets_own = walked.branch.get("path") is not None or walked.branch.get("host") is not None
+    if first != walked.location and sets_own:
+        yield {"place": walked.location, "finding": f"the same host and path as {first}"}
+
+
+def _service_issues(
+    location: str, settings: dict[str, Any], services: dict[str, Any]
+) -> Iterator[ValidationIssue]:
+    """Yield an issue for each unknown service that these settings themselves name."""
+    service = settings.get("service")
+    if service is not None and service not in services:
+        yield {"place": f"{location}settings/service", "finding": f"no service {service}"}
+    for number, share in enumerate(settings.get("split") or ()):
+        if share["service"] not in services:
             yield {
-                "place": f"{place}settings/service",
-                "finding": f"no service {settings['service']}",
+                "place": f"{location}settings/split/{number}/service",
+                "finding": f"no service {share['service']}",
             }
-        for number, part in enumerate(settings.get("split") or ()):
-            if part["service"] not in services:
-                yield {
-                    "place": f"{place}settings/split/{number}/service",
-                    "finding": f"no service {part['service']}",
-                }
--- a/src/willowpost/configuration/model.py
+++ b/src/willowpost/configuration/model.py
@@ -1,7 +1,7 @@
 """The operator's configuration: one tree of settings, inherited unless a branch overrides.
 
-Plain data all the way: thousands of branches as models and back would hold a registry's loop for
-seconds. Null says the same as leaving out.
+It stays plain data: thousands of branches as models and back would block a registry's event loop
+for seconds. Null means the same as leaving a field out.
 """
 
 from typing import Annotated, Literal
@@ -11,22 +11,21 @@
 
 Name = Annotated[str, Field(pattern=r"^[^\s/\x00-\x1f\x7f]{1,128}$")]
 Path = Annotated[str, Field(pattern=r"^/[^\x00-\x1f\x7f]*$", max_length=4096)]
-# goes into a request line
+# Goes into a request line.
 Target = Annotated[str, Field(pattern=r"^/[^\s#\x00-\x1f\x7f]*$", max_length=512)]
 Host = Annotated[str, Field(pattern=r"^(\*|[^\sA-Z/\x00-\x1f\x7f]{1,253})$")]
 Method = Literal["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
 Positive = Annotated[int, Field(gt=0)]
 
-BRANCHES_MOST = 20_000
-SERVICES_MOST = 20_000
-
+MAX_BRANCHES = 20_000
+MAX_SERVICES = 20_000
 
 strict = with_config(ConfigDict(extra="forbid", strict=True))
 
 
 @strict
-class Part(TypedDict):
-    """One service's part of a split way."""
+class SplitShare(TypedDict):
+    """One service's share of a route's requests."""
 
     service: Name
     weight: Annotated[float, Field(ge=0, allow_inf_nan=False)]
@@ -34,10 +33,14 @@
 
 @strict
 class Settings(TypedDict, total=False):
-    """Each may be left out: then it is what the branch above says, or the default in routes.Way."""
+    """A branch's settings.
+
+    Each may be left out: then it is what the branch above sets, or the default of `routes.Route`,
+    which also explains them.
+    """
 
     service: Name | None
-    split: Annotated[list[Part], Field(min_length=1, max_length=1000)] | None
+    split: Annotated[list[SplitShare], Field(min_length=1, max_length=1000)] | None
     kind: Literal["once", "repeatable", "kept"] | None
     methods: Annotated[list[Method], Field(min_length=1)] | None
     cache: bool | None
@@ -53,22 +56,22 @@
     tries: Annotated[int, Field(ge=1, le=100)] | None
 
 
-def _target(settings: "Settings") -> "Settings":
+def _check_target(settings: "Settings") -> "Settings":
     split = settings.get("split")
     if split is not None:
         if settings.get("service") is not None:
             raise ValueError("a service and a split: one of them says where requests go")
-        if not any(part["weight"] for part in split):
+        if not any(share["weight"] for share in split):
             raise ValueError("a split whose weights are all 0")
     return settings
 
 
-RouteSettings = Annotated[Settings, AfterValidator(_target)]
+RouteSettings = Annotated[Settings, AfterValidator(_check_target)]
 
 
 @strict
 class Branch(TypedDict, total=False):
-    """A part of the tree: its settings hold for all beneath it."""
+    """A branch of the tree: its settings apply to all below it."""
 
     host: Host | None
     path: Path | None
@@ -80,10 +83,15 @@
 class Service(TypedDict, total=False):
     """A service of origins.
 
-    `rate` is its allowance, requests a second that all proxies together may send it; left out:
-    none. `connections` are those that all proxies together may hold open to one origin, `cold_rate`
-    what one cold origin bears a second. `named`: its origins honour the name of a life on a
-    request. `sealed`: a success without its seal is none.
+    Attributes:
+        rate: requests a second that all proxies together may send it; left out: no rate limit.
+        ramp_seconds: how long the slow start of an origin takes.
+        health_check_path: target of health checks; left out: none are made.
+        silent_seconds: an origin without a heartbeat for so long has timed out.
+        connections: how many all proxies together may have open to one origin.
+        cold_rate: requests a second that one origin in slow start can serve.
+        named: whether its origins check the incarnation that a request names.
+        sealed: whether a success without its seal (a header) is no valid response.
     """
 
     rate: Annotated[float, Field(gt=0, le=1_000_000)] | None
@@ -96,14 +104,18 @@
     sealed: bool
 
 
-SERVICE = {"ramp_seconds": 10.0, "silent_seconds": 6.0, "named": False, "sealed": False}
+SERVICE_DEFAULTS = {"ramp_seconds": 10.0, "silent_seconds": 6.0, "named": False, "sealed": False}
 
 
 @strict
 class Limits(TypedDict, total=False):
-    """What a caller may send, how long its head may take, how long it may stay idle; left out.
+    """Limits on what a caller may send; those left out are the proxy's own.
 
-    The proxy's own.
+    Attributes:
+        head_bytes: size of a request's head.
+        body_bytes: size of a request's body.
+        head_ms: how long the head may take to arrive.
+        idle_ms: how long a connection may be idle.
     """
 
     head_bytes: Positive | None
@@ -114,18 +126,18 @@
 
 @strict
 class Sections(TypedDict, total=False):
-    """The tree's top, as far as it stands without services."""
+    """The top of the tree, apart from the services."""
 
     settings: RouteSettings
-    branches: Annotated[dict[Name, Branch], Field(max_length=BRANCHES_MOST)]
+    branches: Annotated[dict[Name, Branch], Field(max_length=MAX_BRANCHES)]
     limits: Limits
 
 
 @strict
 class Configuration(Sections):
-    """A whole configuration as the checker takes it."""
+    """A configuration as the checker takes it."""
 
-    services: Annotated[dict[Name, Service], Field(max_length=SERVICES_MOST)]
+    services: Annotated[dict[Name, Service], Field(max_length=MAX_SERVICES)]
 
 
-CONFIGURATION = TypeAdapter(Configuration)
+CONFIGURATION_ADAPTER = TypeAdapter(Configuration)
--- a/src/willowpost/configuration/routes.py
+++ b/src/willowpost/configuration/routes.py
@@ -1,4 +1,4 @@
-"""The routes a configuration amounts to, and which of them a request takes."""
+"""The routes of a configuration, and which of them serves a request."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -6,16 +6,41 @@
 
 from willowpost.common.gc_pause import paused_gc
 
-DEPTH_MOST = 8
-ROUTES_MOST = 20_000
+MAX_DEPTH = 8
+MAX_ROUTES = 20_000
+ANY_HOST = "*"
+# Settings whose value is a list in JSON and a tuple in a route.
+LIST_SETTINGS = frozenset({"methods", "zones", "homes"})
+
+SettingValues = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One kind of request, with its settings worked out.
-
-    Invariants: `service` is a service of the same configuration; with a `split` so is each of its
-    parts, `service` is the first of them, and some weight is above 0.
+    """One kind of request, with all settings that apply to it; the names are those of the settings.
+
+    Invariants: `service` is a service of the same configuration; with a `split` so is each service
+    in it, `service` is the first of them, and some weight is above 0.
+
+    Attributes:
+        name: the names of its branches, joined by "/".
+        host: the host of its requests; "*": any.
+        path: what their paths start with, see `path_prefix`.
+        service: where they go, unless there is a split.
+        methods: the methods that it takes.
+        cache: whether responses may be cached.
+        shield: whether requests go by way of a shield.
+        keep_seconds: how long a response may be cached at most, and by default.
+        deadline_ms: how long a request may take.
+        body_max: bytes that a request's body may have.
+        whole_max: bytes up to which a response is buffered; a larger one streams.
+        zones: of the origins that it may use; None: all.
+        tries: how many attempts a request may have.
+        kind: "once", "repeatable" or "kept"; None: by the method.
+        split: (service, weight) of the services that share its requests; empty: no split.
+        aim_ms: the latency target; None: none.
+        priority: 0 is the highest.
+        homes: regions in which its responses may be cached; empty: everywhere.
     """
 
     name: str
@@ -31,112 +56,141 @@
     whole_max: int = 8 * 1024 * 1024
     zones: tuple[str, ...] | None = None
     tries: int = 3
-    kind: str | None = None  # once | repeatable | kept; None: by method
-    split: tuple[tuple[str, float], ...] = ()  # (service, weight)
+    kind: str | None = None
+    split: tuple[tuple[str, float], ...] = ()
     aim_ms: int | None = None
-    priority: int = 0  # 0 is the highest
-    homes: tuple[str, ...] = ()  # regions; none: everywhere
+    priority: int = 0
+    homes: tuple[str, ...] = ()
 
     @property
     def services(self) -> tuple[str, ...]:
         """Every service that its requests may go to."""
         return tuple(service for service, weight in self.split if weight) or (self.service,)
 
-    def keeps_in(self, region: str | None) -> bool:
-        """Whether a copy may be kept there: only in a home region, if it has any."""
+    def may_cache_in(self, region: str | None) -> bool:
+        """Whether a response may be cached there: only in a home region, if it has any."""
         return not self.homes or region in self.homes
 
 
-LISTS = frozenset({"methods", "zones", "homes"})
-# place, depth, host, path, settings, branch
-WalkedBranch = tuple[str, int, str, str | None, dict[str, Any], dict[str, Any]]
-
+@dataclass(frozen=True, slots=True)
+class WalkedBranch:
+    """A branch of a configuration, with what it inherits.
+
+    Attributes:
+        location: path of the branch in the tree, for validation issues.
+        depth: 1 for a branch at the top.
+        host: its own or the inherited one; "*": any.
+        path: its own or the inherited one; None: none.
+        settings: its own and the inherited ones.
+        branch: the branch itself, as plain data.
+    """
 
-def inherited(above: dict[str, Any], settings: dict[str, Any]) -> dict[str, Any]:
-    """Invariant: a service said below a split takes its place, and the other way round."""
-    said = {name: value for name, value in settings.items() if value is not None}
-    for name in LISTS & said.keys():
-        said[name] = tuple(said[name])
-    if "split" in said:
-        said["split"] = tuple((part["service"], part["weight"]) for part in said["split"])
-        said["service"] = said["split"][0][0]
-    elif "service" in said and above.get("split"):
-        said["split"] = ()
-    return {**above, **said} if said else above
+    location: str
+    depth: int
+    host: str
+    path: str | None
+    settings: SettingValues
+    branch: dict[str, Any]
 
 
-def walk(tree: dict[str, Any]) -> Iterator[WalkedBranch]:
-    """(place, depth, host, path, settings, branch) of every branch of a checked tree: plain data.
+def inherit_settings(inherited: SettingValues, own: SettingValues) -> SettingValues:
+    """Return a branch's settings: its own, and the inherited ones that it does not set.
 
-    Since thousands of models would hold a proxy's loop for as long as a lease lasts.
+    A service set below a split replaces it, and the other way round.
     """
-
-    def down(
-        branches: dict[str, Any],
-        place: str,
-        depth: int,
-        host: str,
-        path: str | None,
-        settings: dict[str, Any],
-    ) -> Iterator[WalkedBranch]:
-        for name, branch in branches.items():
-            own, below = branch.get("settings"), branch.get("branches")
-            here = (
-                f"{place}/{name}",
-                depth,
-                branch.get("host") or host,
-                branch.get("path") or path,
-                inherited(settings, own) if own else settings,
-            )
-            yield (*here, branch)
-            if below:
-                yield from down(below, f"{here[0]}/branches", depth + 1, here[2], here[3], here[4])
-
-    yield from down(
-        tree.get("branches") or {},
-        "branches",
-        1,
-        "*",
-        None,
-        inherited({}, tree.get("settings") or {}),
+    values = {name: value for name, value in own.items() if value is not None}
+    for name in LIST_SETTINGS & values.keys():
+        values[name] = tuple(values[name])
+    if "split" in values:
+        values["split"] = tuple((share["service"], share["weight"]) for share in values["split"])
+        values["service"] = values["split"][0][0]
+    elif "service" in values and inherited.get("split"):
+        values["split"] = ()
+    return {**inherited, **values} if values else inherited
+
+
+def walk_branches(tree: dict[str, Any]) -> Iterator[WalkedBranch]:
+    """Yield every branch of a checked tree, each before the branches below it.
+
+    The tree is plain data: thousands of models would block a proxy's event loop for as long as a
+    lease lasts.
+    """
+    top = WalkedBranch(
+        location="",
+        depth=0,
+        host=ANY_HOST,
+        path=None,
+        settings=inherit_settings({}, tree.get("settings") or {}),
+        branch=tree,
     )
+    yield from _walk_below(top, "branches")
+
+
+def _walk_below(parent: WalkedBranch, location: str) -> Iterator[WalkedBranch]:
+    for name, branch in (parent.branch.get("branches") or {}).items():
+        own_settings = branch.get("settings")
+        walked = WalkedBranch(
+            f"{location}/{name}",
+            parent.depth + 1,
+            branch.get("host") or parent.host,
+            branch.get("path") or parent.path,
+            inherit_settings(parent.settings, own_settings) if own_settings else parent.settings,
+            branch,
+        )
+        yield walked
+        if branch.get("branches"):
+            yield from _walk_below(walked, f"{walked.location}/branches")
 
 
 def routes_of(tree: dict[str, Any]) -> tuple[Route, ...]:
-    """Every route of a checked configuration, with the settings that it inherits."""
+    """Return every route of a checked configuration, with the settings that it inherits."""
     with paused_gc():
         return tuple(
-            Route(place.replace("branches/", ""), host, path, **settings)
-            for place, _, host, path, settings, _ in walk(tree)
-            if path is not None and settings.get("service")
+            Route(
+                walked.location.replace("branches/", ""),
+                walked.host,
+                walked.path,
+                **walked.settings,
+            )
+            for walked in walk_branches(tree)
+            if walked.path is not None and walked.settings.get("service")
         )
 
 
-def trunk_of(path: str) -> str:
-    """What a route is kept under.
+def path_prefix(path: str) -> str:
+    """Return the prefix under which a route's path is looked up.
 
-    "/a" takes whole segments: /a, /a/ and /a/b. "/a/" takes what begins with just that: /a/ and
-    /a/b. "/" takes everything.
+    "/a" takes whole segments: /a, /a/ and /a/b. "/a/" takes only what starts with it: /a/ and /a/b.
+    "/" takes everything.
     """
     return "" if path == "/" else path
 
 
 class RouteTable:
-    """Invariant: find() gives the route with the longest path that takes this one.
+    """Finds routes by host and path; immutable once made.
 
-    And of two with the same path the one with the exact host before "*"; immutable once made.
+    Args:
+        routes: of one configuration.
     """
 
-    def __init__(self, routes: Iterable[Route]):
-        self.by_place = {(route.host, trunk_of(route.path)): route for route in routes}
-        self.longest = max((len(route.path) for route in self.by_place.values()), default=0)
+    def __init__(self, routes: Iterable[Route]) -> None:
+        self._routes = {(route.host, path_prefix(route.path)): route for route in routes}
+        self._longest_path = max((len(route.path) for route in self._routes.values()), default=0)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of the longest path that begins `path`, or None."""
-        # one more than any route has: a segment cut short is none
-        trunk = path[: self.longest + 1]
+        """Return the route with the longest path that takes this one, or None.
+
+        Of two routes with the same path, the one with the exact host precedes the one with "*".
+        """
+        # One character more than any route has: a segment that is cut short matches none.
+        prefix = path[: self._longest_path + 1]
         while True:
-            route = self.by_place.get((host, trunk)) or self.by_place.get(("*", trunk))
-            if route is not None or not trunk:
+            route = self._routes.get((host, prefix)) or self._routes.get((ANY_HOST, prefix))
+            if route is not None or not prefix:
                 return route
-            trunk = trunk[:-1] if trunk[-1] == "/" else trunk[: trunk.rfind("/") + 1]
+            prefix = _parent_prefix(prefix)
+
+
+def _parent_prefix(prefix: str) -> str:
+    """Return the next shorter prefix: "/a/b" -> "/a/" -> "/a" -> "/" -> ""."""
+    return prefix[:-1] if prefix[-1] == "/" else prefix[: prefix.rfind("/") + 1]
