--- /dev/null
+++ b/src/willowpost/shell/web_server.py
@@ -0,0 +1,95 @@
+"""gevent's WSGI server, for applications that several connections use at once."""
+
+from typing import Any
+
+from gevent import socket
+from gevent.pool import Pool
+
+from willowpost.common.import_guard import blocked_imports
+from willowpost.shell.addresses import split_address
+from willowpost.shell.web import Environ
+
+# http.client takes it if it is there; nothing here uses TLS, and it costs 4 MB.
+with blocked_imports("ssl"):
+    from gevent.pywsgi import Input as Input
+    from gevent.pywsgi import WSGIHandler, WSGIServer
+
+# A peer that vanishes without closing (power loss, partition) is noticed within 30 s, whether it
+# owes an acknowledgement or the connection is idle: (level, option) -> value.
+KEEPALIVE_OPTIONS = {
+    (socket.SOL_SOCKET, socket.SO_KEEPALIVE): 1,
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE): 15,
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL): 5,
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT): 3,
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT): 15_000,
+}
+MAX_CONNECTIONS = 4096
+STOP_TIMEOUT_SECONDS = 5.0
+
+
+class QuietHandler(WSGIHandler):  # type: ignore[misc]  # the library has no types
+    """A handler without Nagle's delay and without request logs."""
+
+    def __init__(self, sock: Any, address: Any, server: Any, rfile: Any = None) -> None:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        super().__init__(sock, address, server, rfile)
+
+    def get_environ(self) -> Environ:
+        """Return the handler's environment, with the connection itself."""
+        return {**super().get_environ(), "wp.socket": self.socket}
+
+    def log_request(self) -> None:
+        """Log no request: logs are made where something is decided."""
+
+    def log_error(self, msg: str, *args: object) -> None:
+        """Log no error: the router logs what failed."""
+
+
+class CountingHandler(QuietHandler):
+    """A handler that counts a request as in flight until the last byte of its response is sent."""
+
+    def handle_one_response(self) -> Any:
+        """Respond to one request, counted as in flight."""
+        self.server.application.in_flight += 1
+        try:
+            return super().handle_one_response()
+        finally:
+            self.server.application.in_flight -= 1
+
+
+class WebServer:
+    """Serves an application at an address.
+
+    Args:
+        address: `host:port` to listen at.
+        application: a WSGI application.
+        handler: gevent's handler class for its connections.
+        max_connections: further ones wait.
+    """
+
+    def __init__(
+        self,
+        address: str,
+        application: Any,
+        handler: type = QuietHandler,
+        max_connections: int = MAX_CONNECTIONS,
+    ) -> None:
+        self.server = WSGIServer(
+            split_address(address),
+            application,
+            handler_class=handler,
+            log=None,
+            error_log=None,
+            spawn=Pool(max_connections),
+        )
+
+    def start(self) -> None:
+        """Start to listen; connections inherit the options of the listening socket."""
+        self.server.init_socket()
+        for (level, option), value in KEEPALIVE_OPTIONS.items():
+            self.server.socket.setsockopt(level, option, value)
+        self.server.start()
+
+    def stop(self, seconds: float = STOP_TIMEOUT_SECONDS) -> None:
+        """Close the socket and give requests in flight so many seconds to end."""
+        self.server.stop(timeout=seconds)
--- a/tests/common/test_import_footprint.py
+++ b/tests/common/test_import_footprint.py
@@ -5,7 +5,7 @@
 import sys
 import unittest
 
-FOREIGN = {  # entry -> what it must not load
+FORBIDDEN_MODULES = {  # entry -> what it must not load
     "willowpost.store.daemon": {
         "pydantic",
         "cleo",
@@ -32,23 +32,21 @@
 
 class Imports(unittest.TestCase):
     def test_each_daemon_leaves_out_what_it_does_not_need(self):
-        for entry, foreign in FOREIGN.items():
-            asked = f"import json, sys, {entry}; print(json.dumps(sorted(sys.modules)))"
+        for entry, forbidden in FORBIDDEN_MODULES.items():
+            code = f"import json, sys, {entry}; print(json.dumps(sorted(sys.modules)))"
             loaded = json.loads(
-                subprocess.run(
-                    [sys.executable, "-c", asked], capture_output=True, check=True
-                ).stdout
+                subprocess.run([sys.executable, "-c", code], capture_output=True, check=True).stdout
             )
             self.assertIn(entry, loaded)
-            self.assertEqual(set(), foreign & set(loaded), entry)
+            self.assertEqual(set(), forbidden & set(loaded), entry)
 
     def test_the_parser_alone_is_the_librarys_own(self):
-        asked = """import sys
+        code = """import sys
 from willowpost.shell.http_parser import HTTPParseError, HTTPResponseParser
 assert "ssl" not in sys.modules and "geventhttpclient" not in sys.modules
 from geventhttpclient.response import HTTPParseError as theirs, HTTPResponse
 assert theirs is HTTPParseError and issubclass(HTTPResponse, HTTPResponseParser)"""
-        subprocess.run([sys.executable, "-c", asked], check=True)
+        subprocess.run([sys.executable, "-c", code], check=True)
 
 
 if __name__ == "__main__":
--- a/tests/configuration/test_configuration_checker.py
+++ b/tests/configuration/test_configuration_checker.py
@@ -95,7 +95,7 @@
         )
         self.assertEqual("deep", table.find("x", "/a/b/c/" + "z" * 500).name)
 
-    def test_a_split_takes_the_place_of_a_service_and_vice_versa(self):
+    def test_a_split_replaces_a_service_and_vice_versa(self):
         split = [{"service": "h", "weight": 90}, {"service": "g", "weight": 0}]
         tree = {
             "services": {"g": {}, "h": {}},
@@ -119,7 +119,7 @@
         }
         routes = {route.name: route for route in routes_of(checked(tree).unwrap())}
 
-        def held(route):
+        def summary(route):
             return (
                 route.service,
                 route.split,
@@ -130,10 +130,10 @@
                 route.homes,
             )
 
-        whole = ("h", (("h", 90), ("g", 0)), ("h",), "once", 150, 2, ("r1",))
+        complete = ("h", (("h", 90), ("g", 0)), ("h",), "once", 150, 2, ("r1",))
         self.assertEqual(
-            [whole, whole, ("g", (), ("g",), "once", 150, 2, ())],
-            [held(routes[name]) for name in ("top", "top/in", "top/out")],
+            [complete, complete, ("g", (), ("g",), "once", 150, 2, ())],
+            [summary(routes[name]) for name in ("top", "top/in", "top/out")],
         )
         for settings, place in (
             ({"split": [{"service": "z", "weight": 1}]}, "branches/b/settings/split/0/service"),
@@ -182,8 +182,8 @@
                 },
             },
         }
-        held = checked(tree).unwrap()
-        self.assertEqual({"head_bytes": 1}, held["limits"])
+        configuration = checked(tree).unwrap()
+        self.assertEqual({"head_bytes": 1}, configuration["limits"])
         self.assertEqual(
             [
                 {
@@ -196,9 +196,9 @@
                 },
                 {"ramp_seconds": 10.0, "silent_seconds": 6.0, "named": False, "sealed": False},
             ],
-            [held["services"][name], held["services"]["plain"]],
+            [configuration["services"][name], configuration["services"]["plain"]],
         )
-        self.assertEqual(held, ConfigurationChecker().check_value(held).unwrap())
+        self.assertEqual(configuration, ConfigurationChecker().check_value(configuration).unwrap())
         self.assertTrue(checked({**tree, "limits": {"head_bytes": 0}}).is_err())
 
     def test_twenty_thousand_routes_are_checked_and_made_within_a_lease(self):
@@ -224,20 +224,20 @@
             },
         }
         body = json.dumps(tree).encode()
-        begun = time.process_time()
-        held = ConfigurationChecker().check(body).unwrap()
+        started_at = time.process_time()
+        configuration = ConfigurationChecker().check(body).unwrap()
         checked_at = time.process_time()
-        table = RouteTable(routes_of(held))
-        made = time.process_time()
+        table = RouteTable(routes_of(configuration))
+        routes_made_at = time.process_time()
         print(
-            f"{len(body)} bytes checked in {checked_at - begun:.2f} s, made in {made - checked_at:.2f} s"
+            f"{len(body)} bytes checked in {checked_at - started_at:.2f} s, made in {routes_made_at - checked_at:.2f} s"
         )
         self.assertEqual("w19999", table.find("h1999.example", "/p19999/x").name)
-        self.assertLess(max(checked_at - begun, made - checked_at), 1.5)
+        self.assertLess(max(checked_at - started_at, routes_made_at - checked_at), 1.5)
         tree["branches"]["one more"] = {"path": "/more"}
         self.assertTrue(checked(tree).is_err())
 
-    def test_all_findings_come_with_their_place(self):
+    def test_all_issues_come_with_their_path(self):
         findings = checked(
             {
                 "services": {"g": {"rate": -1}},
@@ -260,39 +260,43 @@
             ).unwrap_err()[0]["place"],
         )
 
-    def test_every_truncation_and_twisted_value_is_refused_and_none_breaks_the_checker(self):
-        whole = json.dumps(TREE).encode()
-        self.assertTrue(checked(whole).is_ok())
-        for cut in range(len(whole)):
-            self.assertTrue(checked(whole[:cut]).is_err(), cut)
+    def test_every_truncation_and_wrong_value_is_rejected_and_none_crashes_the_checker(self):
+        complete = json.dumps(TREE).encode()
+        self.assertTrue(checked(complete).is_ok())
+        for cut in range(len(complete)):
+            self.assertTrue(checked(complete[:cut]).is_err(), cut)
         for wrong in (
             b"[]",
             b"null",
             b"\xff",
             b'{"services": {}, "services": {}}',
-            whole.replace(b"10", b"NaN"),
-            whole.replace(b"10", b'"10"'),
+            complete.replace(b"10", b"NaN"),
+            complete.replace(b"10", b'"10"'),
             b'{"services": ' + b'{"a":' * 5000,
             b"[" * 100000,
         ):
             self.assertTrue(checked(wrong).is_err(), wrong[:30])
         chance = random.Random(4)
         for _ in range(300):
-            broken = bytearray(whole)
+            broken = bytearray(complete)
             broken[chance.randrange(len(broken))] = chance.randrange(256)
             checked(bytes(broken))
 
-    def test_the_shipped_deployments_are_sound(self):
+    def test_the_shipped_deployments_are_valid(self):
         for name in ("invitations", "screening"):
-            held = json.loads((files("willowpost.deployments") / f"{name}.json").read_text())
-            self.assertTrue(checked(held["configuration"]).is_ok())
-            core = [machine for machine in held["machines"] if machine["kind"] != "edge"]
+            deployment = json.loads((files("willowpost.deployments") / f"{name}.json").read_text())
+            self.assertTrue(checked(deployment["configuration"]).is_ok())
+            core = [machine for machine in deployment["machines"] if machine["kind"] != "edge"]
             self.assertEqual(5, len(core))
             self.assertLessEqual(
-                max(sum(machine["zone"] == zone for machine in core) for zone in held["regions"]), 2
+                max(
+                    sum(machine["zone"] == zone for machine in core)
+                    for zone in deployment["regions"]
+                ),
+                2,
             )
 
-    def test_plans_tell_what_would_change_and_warn(self):
+    def test_plans_list_what_would_change_and_warn(self):
         tables = Tables(
             configuration=ActiveConfiguration(2, CHECKED),
             origins={"o": origin_entry(service="g", rate=10)},
@@ -313,7 +317,7 @@
             "service g would have no origin in force", ZonePlanner().plan(tables, "a")["warnings"]
         )
 
-    def test_plans_follow_every_part_of_a_split_and_a_service_without_an_allowance(self):
+    def test_plans_follow_every_service_of_a_split_and_one_without_a_rate(self):
         tree = {
             "services": {"g": {}, "h": {"rate": 20}, "idle": {}},
             "branches": {"top": {"path": "/a", "settings": {"service": "g"}}},
--- a/tests/shell/test_disk.py
+++ b/tests/shell/test_disk.py
@@ -34,13 +34,13 @@
         for cut in range(len(extra)):
             with open(self._path(), "wb") as file:
                 file.write(whole + extra[:cut])
-            self.assertEqual([0], [held["slot"] for held in Disk(self.folder.name).load()[1:]])
-        again = Disk(self.folder.name)
-        again.load()
-        again.append([{"k": "decision", "slot": 1}])
-        self.assertEqual([0, 1], [held["slot"] for held in Disk(self.folder.name).load()[1:]])
+            self.assertEqual([0], [record["slot"] for record in Disk(self.folder.name).load()[1:]])
+        reopened = Disk(self.folder.name)
+        reopened.load()
+        reopened.append([{"k": "decision", "slot": 1}])
+        self.assertEqual([0, 1], [record["slot"] for record in Disk(self.folder.name).load()[1:]])
 
-    def test_damage_before_sound_records_is_refused(self):
+    def test_damage_before_valid_records_is_rejected(self):
         for slot in range(3):
             self.disk.append([{"k": "decision", "slot": slot}])
         data = bytearray(open(self._path(), "rb").read())
@@ -49,7 +49,7 @@
         with self.assertRaises(DiskDamagedError):
             Disk(self.folder.name).load()
 
-    def test_a_segment_without_its_header_is_refused_at_every_cut(self):
+    def test_a_segment_without_its_header_is_rejected_at_every_length(self):
         whole = open(self._path(), "rb").read()
         for cut in range(whole.index(b"\n") + 1):
             with open(self._path(), "wb") as file:
@@ -57,7 +57,7 @@
             with self.assertRaises(DiskDamagedError):
                 Disk(self.folder.name).load()
 
-    def test_a_torn_batch_is_cut_whatever_part_of_it_came_to_the_disk(self):
+    def test_a_torn_batch_is_truncated_whichever_pages_of_it_were_written(self):
         """A write of several pages may lose any of them; nothing of the batch was ever told."""
         whole = open(self._path(), "rb").read()
         batch = encode_batch(
@@ -80,7 +80,7 @@
                 Disk(self.folder.name).load()
             self.assertEqual(line, open(self._path(), "rb").read())
 
-    def test_a_damaged_folder_is_set_aside_and_only_the_latest_is_kept(self):
+    def test_a_damaged_folder_is_quarantined_and_only_the_latest_stays(self):
         for moment in (1, 2):
             disk = Disk(os.path.join(self.folder.name, "store"))
             disk.rotate([{"k": "identity"}])
@@ -107,7 +107,7 @@
         self.disk.rotate([{"k": "identity"}])
         self.disk.append([{"k": "decision", "slot": 0}])
 
-    def held(self):
+    def stored_slots(self):
         """What a restart would find, read without touching the folder."""
         name = sorted(name for name in os.listdir(self.disk.folder) if name.endswith(".wp"))[-1]
         with open(os.path.join(self.disk.folder, name), "rb") as file:
@@ -128,7 +128,7 @@
 
         return patch(f"willowpost.shell.disk.os.{call}", fails)
 
-    def test_a_failed_append_leaves_what_was_and_can_be_said_again(self):
+    def test_a_failed_append_leaves_what_was_and_can_be_retried(self):
         def half(real, file, data):
             return real(file, data[: len(data) // 2])
 
@@ -137,12 +137,12 @@
             ("write", lambda *args: None),
             ("fdatasync", lambda *args: None),
         ):
-            count = len(self.held())
+            count = len(self.stored_slots())
             with self.failing(call, errno.ENOSPC, before=before), self.assertRaises(OSError):
                 self.disk.append([{"k": "decision", "slot": count}])
-            self.assertEqual(count, len(self.held()), call)
+            self.assertEqual(count, len(self.stored_slots()), call)
             self.disk.append([{"k": "decision", "slot": count}])
-            self.assertEqual(count + 1, len(self.held()), call)
+            self.assertEqual(count + 1, len(self.stored_slots()), call)
 
     def test_a_failed_segment_leaves_the_old_one_and_no_open_handle(self):
         for call in ("open", "write", "fsync", "rename"):
@@ -150,34 +150,34 @@
             with self.failing(call, errno.EMFILE), self.assertRaises(OSError):
                 self.disk.rotate([{"k": "identity"}])
             self.assertEqual(handles, len(os.listdir("/proc/self/fd")), call)
-            self.assertEqual([None, 0], self.held(), call)
+            self.assertEqual([None, 0], self.stored_slots(), call)
         self.disk.append([{"k": "decision", "slot": 1}])
-        self.assertEqual([None, 0, 1], self.held())
+        self.assertEqual([None, 0, 1], self.stored_slots())
         self.disk.rotate([{"k": "identity"}, {"k": "decision", "slot": 7}])
-        self.assertEqual([None, 7], self.held())
+        self.assertEqual([None, 7], self.stored_slots())
 
-    def test_the_patient_wait_for_room_and_say_so_but_raise_what_will_not_pass(self):
-        said, waited = [], []
-        logger = type("Logger", (), {"log": lambda self, *words, **more: said.append(words)})()
-        patient = RetryingDisk(self.disk, logger, waited.append)
+    def test_writes_are_retried_and_logged_while_space_is_missing_and_other_errors_raised(self):
+        log_calls, pauses = [], []
+        logger = type("Logger", (), {"log": lambda self, *words, **more: log_calls.append(words)})()
+        retrying_disk = RetryingDisk(self.disk, logger, pauses.append)
         with self.failing("write", errno.ENOSPC, times=50):
-            patient.append([{"k": "decision", "slot": 1}])
-        self.assertEqual((50, 2, [None, 0, 1]), (len(waited), len(said), self.held()))
+            retrying_disk.append([{"k": "decision", "slot": 1}])
+        self.assertEqual((50, 2, [None, 0, 1]), (len(pauses), len(log_calls), self.stored_slots()))
         with self.failing("fsync", errno.ENFILE, times=3):
-            patient.rotate([{"k": "identity"}])
-        self.assertEqual([None], self.held())
+            retrying_disk.rotate([{"k": "identity"}])
+        self.assertEqual([None], self.stored_slots())
         with self.failing("fdatasync", errno.EIO), self.assertRaises(OSError):
-            patient.append([{"k": "decision", "slot": 2}])
+            retrying_disk.append([{"k": "decision", "slot": 2}])
 
 
 class FullDisk(unittest.TestCase):
-    def test_a_store_that_cannot_write_ends_and_says_nothing(self):
+    def test_a_store_that_cannot_write_ends_and_sends_nothing(self):
         """What was not synced must not be sent.
 
         And the process must not linger without its task (a disk that waits for room stands before
         this).
         """
-        sent, died, said = [], [], []
+        sent, exit_codes, log_calls = [], [], []
 
         class Node:
             def step(self, event, now):
@@ -191,16 +191,16 @@
                 raise OSError(28, "No space left on device")
 
         logger = type(
-            "Logger", (), {"log": lambda self, *words, **more: said.append((words, more))}
+            "Logger", (), {"log": lambda self, *words, **more: log_calls.append((words, more))}
         )()
-        runner = Runner("127.0.0.1:0", logger, Full(), died.append)
+        runner = Runner("127.0.0.1:0", logger, Full(), exit_codes.append)
         runner.mesh.send = lambda *args: sent.append(args)
         runner.start(Node())
         gevent.wait([runner.task], timeout=5)
         gevent.idle()
         runner.mesh.stop()
-        self.assertEqual(([], [70]), (sent, died))
-        self.assertIn("No space", said[0][1]["problem"])
+        self.assertEqual(([], [70]), (sent, exit_codes))
+        self.assertIn("No space", log_calls[0][1]["problem"])
 
 
 if __name__ == "__main__":
--- a/tests/shell/test_mesh.py
+++ b/tests/shell/test_mesh.py
@@ -23,13 +23,13 @@
     with plain.socket() as free:
         free.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{free.getsockname()[1]}"
-    held = Mesh(address, create_inbox())
-    held.start()
-    return held
+    started = Mesh(address, create_inbox())
+    started.start()
+    return started
 
 
-class NotedQueue(SizedQueue):
-    """Notes the slot of each message that comes in, in the order of all that share `slots`."""
+class RecordingQueue(SizedQueue):
+    """Records the slot of each message that comes in, in the order of all that share `slots`."""
 
     def __init__(self, slots):
         super().__init__(MAX_INBOX_EVENTS, MAX_INBOX_BYTES)
@@ -46,7 +46,7 @@
         self.addCleanup(self.here.stop)
         self.addCleanup(self.there.stop)
 
-    def came(self, slot):
+    def is_delivered(self, slot):
         """A message gets through, sent again until it does as all of ours are."""
         for _ in range(50):
             self.there.send(self.here.address, SyncedIndex("s", slot))
@@ -65,9 +65,9 @@
     def test_junk_ends_its_connection_and_nothing_of_it_comes_in(self):
         chance = random.Random(7)
         frame = Codec().encode("x", SyncedIndex("s", 1))
-        whole = FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame
+        frame_with_header = FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame
         for number in range(200):
-            junk = bytearray(whole)
+            junk = bytearray(frame_with_header)
             if number % 4 == 0:
                 junk = bytearray(chance.randbytes(chance.randrange(1, 200)))
             elif number % 4 == 1:
@@ -82,7 +82,7 @@
                 connection.shutdown(socket.SHUT_WR)
                 self.assertEqual(b"", connection.recv(1), "closed")
         self.assertEqual(0, self.here.inbox.qsize())
-        self.assertTrue(self.came(2))
+        self.assertTrue(self.is_delivered(2))
 
     def test_without_the_checksum_a_flipped_bit_would_come_in(self):
         """The check above can fail: flatbuffers alone take many a damaged frame."""
@@ -94,7 +94,7 @@
                 taken += Codec().decode(bytes(frame)) != ("x", SyncedIndex("s", 1))
         self.assertGreater(taken, 10)
 
-    def test_a_node_that_waits_is_not_buried(self):
+    def test_the_inbox_of_a_node_that_waits_is_bounded_in_events(self):
         for _ in range(MAX_INBOX_EVENTS):
             self.here.inbox.put(None)
         with self.raw() as connection:
@@ -113,11 +113,11 @@
                 connection.sendall(FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame)
             connection.shutdown(socket.SHUT_WR)
             connection.recv(1)
-        held = self.here.inbox
-        self.assertEqual((True, 31), (held.size_bytes <= MAX_INBOX_BYTES, held.qsize()))
-        while not held.empty():
-            held.get()
-        self.assertEqual(0, held.size_bytes)
+        inbox = self.here.inbox
+        self.assertEqual((True, 31), (inbox.size_bytes <= MAX_INBOX_BYTES, inbox.qsize()))
+        while not inbox.empty():
+            inbox.get()
+        self.assertEqual(0, inbox.size_bytes)
 
     def test_frames_to_a_peer_that_does_not_read_are_bounded_in_bytes(self):
         command = Command("r", 1, 1, 1, "x" * 1024 * 1024)
@@ -153,7 +153,7 @@
         self.here.send(self.there.address, SyncedIndex("s", 2))
         self.assertEqual(2, self.there.inbox.get(timeout=2).message.slot)
 
-    def test_one_frame_larger_than_all_room_is_taken_when_nothing_else_waits(self):
+    def test_one_frame_larger_than_the_queue_is_taken_when_nothing_else_waits(self):
         queue = SizedQueue(2, 10)
         self.assertEqual(
             [True, False, False],
@@ -165,46 +165,46 @@
 
     def test_handles_that_run_out_on_either_side_are_waited_for(self):
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.assertTrue(self.came(1))
+        self.assertTrue(self.is_delivered(1))
         del self.there.queues[self.here.address]  # a new connection is needed
-        held = []
+        open_files = []
         resource.setrlimit(resource.RLIMIT_NOFILE, (len(os.listdir("/proc/self/fd")) + 8, hard))
         try:
             while True:
                 try:
-                    held.append(os.open("/dev/null", os.O_RDONLY))
+                    open_files.append(os.open("/dev/null", os.O_RDONLY))
                 except OSError:
                     break
             self.there.send(self.here.address, SyncedIndex("s", 2))
             with self.assertRaises(gevent.queue.Empty):
                 self.here.inbox.get(timeout=0.3)
         finally:
-            for file in held:
+            for file in open_files:
                 os.close(file)
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        self.assertTrue(self.came(3))
+        self.assertTrue(self.is_delivered(3))
 
-    def test_what_a_peer_does_not_acknowledge_is_not_held_for_long(self):
+    def test_what_a_peer_does_not_acknowledge_is_not_buffered_for_long(self):
         """After a cut or a loss of power TCP alone repeats at 0.2, 0.6, 1.4, 3, 6 and 12 s.
 
         A machine that came back hears nothing till then.
         """
-        made, make = [], socket.socket
+        created, create = [], socket.socket
         with mock.patch.object(
-            mesh_module.socket, "socket", lambda *args: made.append(make(*args)) or made[-1]
+            mesh_module.socket, "socket", lambda *args: created.append(create(*args)) or created[-1]
         ):
-            self.assertTrue(self.came(5))
+            self.assertTrue(self.is_delivered(5))
         self.assertLessEqual(MAX_UNACKNOWLEDGED_MS, 1500)
         self.assertEqual(
             [MAX_UNACKNOWLEDGED_MS],
-            [held.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) for held in made],
+            [each.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) for each in created],
         )
 
-    def test_over_a_restart_of_the_peer_frames_come_whole_in_order_and_at_most_once(self):
+    def test_over_a_restart_of_the_peer_frames_come_complete_in_order_and_at_most_once(self):
         """A frame that the restart took is lost; none comes twice, or in part, or before another."""
         slots = []
         self.here.stop()
-        before, after = (Mesh(self.here.address, NotedQueue(slots)) for _ in range(2))
+        before, after = (Mesh(self.here.address, RecordingQueue(slots)) for _ in range(2))
         before.start()
         for slot in range(20):
             self.there.send(before.address, SyncedIndex("s", slot))
@@ -224,22 +224,22 @@
                 gevent.sleep(0.005)
         self.assertEqual(sorted(set(slots)), slots)
 
-    def drained(self, held):
-        return [held.inbox.get_nowait() for _ in range(held.inbox.qsize())]
+    def drained(self, mesh):
+        return [mesh.inbox.get_nowait() for _ in range(mesh.inbox.qsize())]
 
-    def test_half_a_frame_holds_up_no_other_connection_and_never_comes_in(self):
+    def test_half_a_frame_delays_no_other_connection_and_never_comes_in(self):
         frame = Codec().encode("x", SyncedIndex("s", 7))
-        whole = FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame
-        with self.raw() as stuck:
-            stuck.sendall(whole[:-1])
-            self.assertTrue(self.came(8))
-        self.assertTrue(self.came(9))
+        frame_with_header = FRAME_HEADER.pack(len(frame), zlib.crc32(frame)) + frame
+        with self.raw() as stalled:
+            stalled.sendall(frame_with_header[:-1])
+            self.assertTrue(self.is_delivered(8))
+        self.assertTrue(self.is_delivered(9))
         self.assertEqual([], self.drained(self.here))
 
     def test_an_address_that_is_none_harms_nobody(self):
         for address in ("127.0.0.1:99999", "nowhere:1"):
             self.there.send(address, SyncedIndex("s", 1))
-        self.assertTrue(self.came(4))
+        self.assertTrue(self.is_delivered(4))
 
 
 if __name__ == "__main__":
--- a/tests/shell/test_power_loss_directory_entries.py
+++ b/tests/shell/test_power_loss_directory_entries.py
@@ -90,13 +90,13 @@
 
     def entries(self, kept) -> dict[str, str]:
         """What the folder names if just these of the pending changes were kept."""
-        held = dict(self.durable)
+        entries = dict(self.durable)
         for number in kept:
             name, inode = self.pending[number]
-            held.pop(name, None)
+            entries.pop(name, None)
             if inode is not None:
-                held[name] = inode
-        return held
+                entries[name] = inode
+        return entries
 
     def after_power_loss(self):
         """Each folder that may be found afterwards, as a new RecordedFolder."""
@@ -116,7 +116,7 @@
 
 
 class Folders(unittest.TestCase):
-    def made(self):
+    def folder_with_segment(self):
         """A folder that holds the old segment, all of it synced."""
         root = tempfile.TemporaryDirectory()
         self.addCleanup(root.cleanup)
@@ -143,7 +143,7 @@
 
     def test_power_lost_in_a_rotation_leaves_the_old_segment_or_the_new(self):
         for calls in range(12):
-            folder = self.made()
+            folder = self.folder_with_segment()
             done = self.rotate(folder, NEW, calls)
             for entries, found in folder.after_power_loss():
                 with self.subTest(calls=calls, entries=sorted(entries)):
@@ -152,7 +152,7 @@
     def test_killed_in_a_rotation_then_power_lost_in_or_after_the_restart(self):
         """After a kill the folder's changes are still unsynced when the restart builds on them."""
         for killed_at, lost_at in itertools.product(range(9), range(9)):
-            folder = self.made()
+            folder = self.folder_with_segment()
             done = self.rotate(folder, NEW, killed_at)
             read = self.load(folder, lost_at)
             allowed = [read] if read is not None else [NEW] if done else [OLD, NEW]
--- a/tests/shell/test_process_termination.py
+++ b/tests/shell/test_process_termination.py
@@ -18,10 +18,10 @@
 from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.serving import serve
 from willowpost.{kind}.daemon import {name}
-place = ProcessSettings("m", "a", "127.0.0.1:{inner}", ("127.0.0.1:{seed}",), http="127.0.0.1:{http}", role="edge", data=sys.argv[1], voters=3,
-              drain_ms=500, finish_ms=300, leave_ms=200)
+settings = ProcessSettings("m", "a", "127.0.0.1:{inner}", ("127.0.0.1:{seed}",), http="127.0.0.1:{http}", role="edge", data=sys.argv[1], voters=3,
+                 drain_ms=500, finish_ms=300, leave_ms=200)
 logger = StructuredLogger("{kind}", "m")
-serve({name}(place, logger), logger)
+serve({name}(settings, logger), logger)
 """
 # least time to serve on
 KINDS = {
@@ -32,17 +32,17 @@
 
 
 def ports(count):
-    held = [socket.socket() for _ in range(count)]
-    for each in held:
+    sockets = [socket.socket() for _ in range(count)]
+    for each in sockets:
         each.bind(("127.0.0.1", 0))
-    found = [each.getsockname()[1] for each in held]
-    for each in held:
+    found = [each.getsockname()[1] for each in sockets]
+    for each in sockets:
         each.close()
     return found
 
 
 class ProcessTermination(unittest.TestCase):
-    def test_every_daemon_ends_with_code_0_when_asked(self):
+    def test_every_daemon_ends_with_code_0_on_a_signal(self):
         for kind, (name, least) in KINDS.items():
             for number in (signal.SIGTERM, signal.SIGINT):
                 with (
@@ -54,10 +54,10 @@
                     process = subprocess.Popen(
                         [sys.executable, "-c", text, folder], stderr=subprocess.PIPE, text=True
                     )
-                    said = []
-                    while not said or "program: started" not in said[-1]:
-                        said.append(process.stderr.readline())
-                        self.assertTrue(said[-1], said)
+                    lines = []
+                    while not lines or "program: started" not in lines[-1]:
+                        lines.append(process.stderr.readline())
+                        self.assertTrue(lines[-1], lines)
                     begun = time.monotonic()
                     process.send_signal(number)
                     rest = process.communicate(timeout=30)[1]
--- a/tests/shell/test_settings_reload.py
+++ b/tests/shell/test_settings_reload.py
@@ -21,7 +21,7 @@
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
 
-HELD = {
+SETTINGS = {
     "name": "edge-1",
     "zone": "a",
     "address": "127.0.0.1:7000",
@@ -34,22 +34,22 @@
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.path, self.said = os.path.join(folder.name, "settings.json"), io.StringIO()
+        self.path, self.log = os.path.join(folder.name, "settings.json"), io.StringIO()
         self.reload = SettingsReload(
             self.path,
             {},
             ("http",),
-            DaemonSettings(**HELD),
-            StructuredLogger("wpproxy", "edge-1", stream=self.said),
+            DaemonSettings(**SETTINGS),
+            StructuredLogger("wpproxy", "edge-1", stream=self.log),
         )
 
     def read(self, **changes):
         with open(self.path, "w") as file:
-            json.dump({**HELD, **changes}, file)
+            json.dump({**SETTINGS, **changes}, file)
         return self.reload.reload()
 
     def last(self):
-        return json.loads(self.said.getvalue().strip().splitlines()[-1])
+        return json.loads(self.log.getvalue().strip().splitlines()[-1])
 
     def test_what_can_change_live_does_and_the_rest_is_named_until_a_restart(self):
         for _ in range(2):
@@ -63,13 +63,13 @@
             self.assertEqual({"zone", "address"}, set(self.last()["needs_restart"]))
         self.assertEqual([], self.last()["changed"])
 
-    def test_one_wrong_prop_keeps_all_the_old_ones_and_every_finding_is_told(self):
+    def test_one_wrong_field_leaves_all_the_old_ones_and_every_issue_is_reported(self):
         read = self.read(seeds=["127.0.0.3:7000"], level="LOUD", zone="B!", nonsense=1)
         self.assertEqual(
             {"level", "zone", "nonsense"}, {finding["place"] for finding in read.unwrap_err()}
         )
         self.assertEqual(
-            (HELD["seeds"], "ERROR"), (self.reload.settings.seeds, self.last()["level"])
+            (SETTINGS["seeds"], "ERROR"), (self.reload.settings.seeds, self.last()["level"])
         )
         with open(self.path, "w") as file:
             file.write("{")
@@ -86,7 +86,7 @@
                 file.write(text)
             return SettingsReader().read(path, flags)
 
-    def test_yaml_and_json_say_the_same(self):
+    def test_yaml_and_json_are_equivalent(self):
         text = """
 name: edge-1
 zone: a
@@ -102,29 +102,29 @@
 pace: {resend: 30}
 """
         for name in ("settings.yaml", "settings.yml"):
-            place = self.read(name, text).unwrap().to_process_settings()
+            settings = self.read(name, text).unwrap().to_process_settings()
             self.assertEqual(
                 (3, False, {"a": "north", "b": "south"}, 60_000, 30 * MILLISECOND),
                 (
-                    place.voters,
-                    place.may_bootstrap,
-                    place.regions,
-                    place.serve_on_ms,
-                    place.pace.resend,
+                    settings.voters,
+                    settings.may_bootstrap,
+                    settings.regions,
+                    settings.serve_on_ms,
+                    settings.pace.resend,
                 ),
             )
             self.assertEqual(
-                place,
+                settings,
                 self.read("settings.json", json.dumps(yaml.safe_load(text)))
                 .unwrap()
                 .to_process_settings(),
             )
             self.assertEqual(
                 (2500 * MILLISECOND, 30_000 * MILLISECOND),
-                (place.shutdown_timeouts().drain, place.shutdown_timeouts().finish),
+                (settings.shutdown_timeouts().drain, settings.shutdown_timeouts().finish),
             )
 
-    def test_findings_as_before(self):
+    def test_wrong_files_and_fields_are_reported_as_issues(self):
         for name, text in (
             ("settings.yaml", "a: [1"),
             ("settings.yaml", "- 1"),
@@ -133,22 +133,22 @@
             ("settings.json", "{"),
         ):
             self.assertEqual(1, len(self.read(name, text).unwrap_err()), text)
-        held = self.read(
+        read = self.read(
             "settings.yaml",
             "name: e\nzone: a\naddress: 127.0.0.1:0\nhealth: x\nseeds: [127.0.0.1:1]\nserve_on_ms: 1\nmax_voters: 4\n",
         )
         self.assertEqual(
             {"address", "health", "serve_on_ms", "max_voters"},
-            {finding["place"] for finding in held.unwrap_err()},
+            {finding["place"] for finding in read.unwrap_err()},
         )
 
 
 class ServingOn(unittest.TestCase):
-    def test_a_long_serve_on_lengthens_no_duty(self):
-        card = DaemonDescriptor(
+    def test_a_long_stale_serving_does_not_lengthen_the_ownership_lease(self):
+        descriptor = DaemonDescriptor(
             "e/proxy", "proxy", "edge", "e", "a", "127.0.0.1:1", "127.0.0.1:2", 7
         )
-        node_state = NodeState(card, fresh_as_of=0)
+        node_state = NodeState(descriptor, fresh_as_of=0)
         self.assertEqual(
             (True, True), (node_state.may_serve(LEASE), node_state.holds_ownership_lease(LEASE))
         )
@@ -163,7 +163,7 @@
         )
         self.assertFalse(node_state.may_serve(60 * SECOND + 1))
         self.assertFalse(
-            NodeState(card, max_stale_serving=60 * SECOND).may_serve(0),
+            NodeState(descriptor, max_stale_serving=60 * SECOND).may_serve(0),
             "a new life has no state updates at all",
         )
 
--- a/tests/shell/test_single_threaded_daemons.py
+++ b/tests/shell/test_single_threaded_daemons.py
@@ -27,10 +27,10 @@
 """
 SETTINGS_WATCH = """
 import signal
-heard = gevent.event.Event()
-gevent.signal_handler(signal.SIGHUP, heard.set)
+signalled = gevent.event.Event()
+gevent.signal_handler(signal.SIGHUP, signalled.set)
 os.kill(os.getpid(), signal.SIGHUP)
-assert heard.wait(10)
+assert signalled.wait(10)
 assert threads() == 1, threads()
 """
 # what the check would see if a name were looked up: gevent asks its resolver in a thread
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -22,38 +22,38 @@
 )
 
 
-def made(chance, kind):
-    return kind(**{field.name: value(chance, field) for field in fields(kind)})
+def random_message(generator, kind):
+    return kind(**{field.name: random_value(generator, field) for field in fields(kind)})
 
 
-def value(chance, field):
+def random_value(generator, field):
     plain = {
-        int: lambda: chance.randrange(200),
-        bool: lambda: chance.random() < 0.5,
-        str: lambda: "".join(chance.choices('aé\n"x', k=chance.randrange(5))),
+        int: lambda: generator.randrange(200),
+        bool: lambda: generator.random() < 0.5,
+        str: lambda: "".join(generator.choices('aé\n"x', k=generator.randrange(5))),
     }
     if field.type in plain:
         return plain[field.type]()
     if field.name in ("states", "votes"):
-        return tuple(chance.randrange(3) for _ in range(chance.randrange(4)))
+        return tuple(generator.randrange(3) for _ in range(generator.randrange(4)))
     nested = {"command": Command, "chunk": SnapshotChunk, SnapshotRequest | None: SnapshotRequest}
     if field.name in nested or field.type in nested:
-        return made(chance, nested.get(field.name) or nested[field.type])
+        return random_message(generator, nested.get(field.name) or nested[field.type])
     if field.name == "bootstrap_promise":
-        return tuple("v" * chance.randrange(1, 4) for _ in range(chance.randrange(3)))
+        return tuple("v" * generator.randrange(1, 4) for _ in range(generator.randrange(3)))
     return tuple(
-        made(chance, {"decisions": Decision, "known_members": Member}[field.name])
-        for _ in range(chance.randrange(3))
+        random_message(generator, {"decisions": Decision, "known_members": Member}[field.name])
+        for _ in range(generator.randrange(3))
     )
 
 
 class WireTests(unittest.TestCase):
     def test_every_message_comes_back_equal(self):
-        chance, codec = random.Random(7), Codec()
+        generator, codec = random.Random(7), Codec()
         for kind in BODIES:
             self.assertTrue(is_dataclass(kind))
             for _ in range(20):
-                message = made(chance, kind)
+                message = random_message(generator, kind)
                 self.assertEqual(
                     ("127.0.0.1:1", message), codec.decode(codec.encode("127.0.0.1:1", message))
                 )
@@ -62,7 +62,7 @@
         """One that can be found but not imported: whoever reaches for it breaks down."""
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "numpy.py").write_text("raise ImportError('reached for')")
-            found = subprocess.run(
+            completed = subprocess.run(
                 [
                     sys.executable,
                     "-c",
@@ -76,15 +76,15 @@
                 capture_output=True,
                 text=True,
             )
-        self.assertEqual((0, ""), (found.returncode, found.stderr))
+        self.assertEqual((0, ""), (completed.returncode, completed.stderr))
 
     def test_garbage_raises_what_the_mesh_expects(self):
-        chance, codec = random.Random(8), Codec()
+        generator, codec = random.Random(8), Codec()
         frame = codec.encode("127.0.0.1:1", BODIES[0]())
         for _ in range(300):
             broken = bytearray(frame)
             for _ in range(3):
-                broken[chance.randrange(len(broken))] = chance.randrange(256)
+                broken[generator.randrange(len(broken))] = generator.randrange(256)
             with contextlib.suppress(
                 OSError,
                 ValueError,
