--- a/src/willowpost/shell/reload.py
+++ b/src/willowpost/shell/reload.py
@@ -37,9 +37,7 @@
         read = SettingsReader().read(self.path, self.flags, self.required)
         if read.is_err():
             issues = read.unwrap_err()
-            self.logger.log(
-                "settings", "reload rejected, the old ones stay", level="error", issues=issues
-            )
+            self.logger.log("settings", "wrong, the old ones stay", level="error", findings=issues)
             return Err(issues)
         wanted = read.unwrap()
         changed = [
@@ -53,7 +51,7 @@
         )
         self.logger.log(
             "settings",
-            "reloaded",
+            "read again",
             changed=live,
             needs_restart=[name for name in changed if name not in LIVE_SETTINGS],
         )
--- a/src/willowpost/shell/retrying_disk.py
+++ b/src/willowpost/shell/retrying_disk.py
@@ -77,7 +77,7 @@
     def _log_failure(self, problem: OSError, retries: int) -> None:
         self.logger.log(
             "disk",
-            "write failed, retrying; this store sends nothing until it succeeds",
+            "cannot write, retrying; this store sends nothing until it can",
             level="error",
             problem=str(problem),
             retries=retries,
--- a/src/willowpost/shell/router.py
+++ b/src/willowpost/shell/router.py
@@ -110,7 +110,7 @@
             return invalid(400, "/", "malformed request")
         # The request's last line: a bug must not look like a success, nor keep the caller waiting.
         except Exception as problem:
-            self.logger.log("web", "request failed", level="error", problem=repr(problem))
+            self.logger.log("web", "request broke down", level="error", problem=repr(problem))
             return reject(500, "broke down")
 
     def _dispatch(self, environ: Environ) -> Response:
--- a/src/willowpost/shell/runner.py
+++ b/src/willowpost/shell/runner.py
@@ -75,9 +75,7 @@
         self.task.link_exception(self._exit_on_failure)
 
     def _exit_on_failure(self, task: gevent.Greenlet) -> None:
-        self.logger.log(
-            "program", "internal error, exiting", level="critical", problem=repr(task.exception)
-        )
+        self.logger.log("program", "broke down", level="critical", problem=repr(task.exception))
         self.exit_process(EXIT_INTERNAL_ERROR)
 
     def submit(self, *operations: object, timeout: float = SUBMIT_TIMEOUT_SECONDS) -> Any:
