--- a/src/willowpost/configuration/checker.py
+++ b/src/willowpost/configuration/checker.py
@@ -14,7 +14,7 @@
     MAX_DEPTH,
     MAX_ROUTES,
     WalkedBranch,
-    path_prefix,
+    lookup_prefix,
     walk_branches,
 )
 from willowpost.shell.validation import validation_issues
@@ -132,7 +132,7 @@
     """
     if walked.path is None or not walked.settings.get("service"):
         return
-    key = (walked.host, path_prefix(walked.path))
+    key = (walked.host, lookup_prefix(walked.path))
     first = first_locations.setdefault(key, walked.location)
     sets_own = walked.branch.get("path") is not None or walked.branch.get("host") is not None
     if first != walked.location and sets_own:
--- a/src/willowpost/configuration/routes.py
+++ b/src/willowpost/configuration/routes.py
@@ -25,7 +25,7 @@
     Attributes:
         name: the names of its branches, joined by "/".
         host: the host of its requests; "*": any.
-        path: what their paths start with, see `path_prefix`.
+        path: what their paths start with, see `lookup_prefix`.
         service: where they go, unless there is a split.
         methods: the methods that it takes.
         cache: whether responses may be cached.
@@ -157,7 +157,7 @@
         )
 
 
-def path_prefix(path: str) -> str:
+def lookup_prefix(path: str) -> str:
     """Return the prefix under which a route's path is looked up.
 
     "/a" takes whole segments: /a, /a/ and /a/b. "/a/" takes only what starts with it: /a/ and /a/b.
@@ -174,7 +174,7 @@
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
-        self._routes = {(route.host, path_prefix(route.path)): route for route in routes}
+        self._routes = {(route.host, lookup_prefix(route.path)): route for route in routes}
         self._longest_path = max((len(route.path) for route in self._routes.values()), default=0)
 
     def find(self, host: str, path: str) -> Route | None:
--- a/src/willowpost/shell/segment_format.py
+++ b/src/willowpost/shell/segment_format.py
@@ -67,7 +67,7 @@
         records += batch
         start = end + 1
     if any(_decode_line(line) is not None for line in data[start:].split(b"\n")[1:]):
-        raise DiskDamagedError(f"a bad record at byte {start}, valid ones behind it")
+        raise DiskDamagedError(f"a bad record at byte {start}, sound ones behind it")
     return records, start
 
 
@@ -76,7 +76,7 @@
     end = data.find(b"\n")
     body = _decode_line(data[:end]) if end >= 0 else None
     if body is None:
-        raise DiskDamagedError("no valid header")
+        raise DiskDamagedError("no sound header")
     found = body.get("format") if isinstance(body, dict) else None
     if found != SEGMENT_FORMAT:
         raise UnknownFormatError("segment", found, SEGMENT_FORMAT)
