--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -136,12 +136,12 @@
         incoming = self.node_state.incoming_snapshot
         if sources and not incoming.is_progressing(now):
             source = sources[self.request_count % len(sources)]
-            plan.send(source, CatchupRequest(0, blank=True, snapshot=incoming.request()))
+            plan.send(source, CatchupRequest(0, has_no_tables=True, snapshot=incoming.request()))
 
     def _hello(self, is_answer: bool) -> Hello:
         node_state = self.node_state
         if not node_state.is_bootstrapped and not self._may_bootstrap():
-            return Hello(answer=is_answer)
+            return Hello(is_reply=is_answer)
         return Hello(
             node_state.member.identity,
             node_state.member.name,
@@ -154,19 +154,19 @@
         )
 
     def _receive_hello(self, source: str, hello: Hello, plan: Plan) -> None:
-        if not hello.answer:
+        if not hello.is_reply:
             plan.send(source, self._hello(is_answer=True))
         own_address = self.node_state.member.address
-        if hello.bootstrapped and self.node_state.is_bootstrapped:
+        if hello.is_bootstrapped and self.node_state.is_bootstrapped:
             self._request_newer_decisions(hello, plan)
-        elif hello.bootstrapped:
-            voters = {member.address for member in hello.known}
+        elif hello.is_bootstrapped:
+            voters = {member.address for member in hello.known_members}
             self.bootstrapped_addresses = voters - {own_address}
         elif hello.identity and self._may_be_bootstrap_member(hello.address):
             self._add_claim(Member(hello.identity, hello.name, hello.zone, hello.address))
-        if hello.promise:
-            self.promises[hello.identity] = hello.promise
-        self.known_addresses |= {member.address for member in hello.known}
+        if hello.bootstrap_promise:
+            self.promises[hello.identity] = hello.bootstrap_promise
+        self.known_addresses |= {member.address for member in hello.known_members}
 
     def _request_newer_decisions(self, hello: Hello, plan: Plan) -> None:
         """Request decisions from the voters that the sender knows and this store does not.
@@ -176,7 +176,7 @@
         """
         node_state = self.node_state
         known = {node_state.member.address, *node_state.voter_addresses.values()}
-        unknown = {member.address for member in hello.known} - known
+        unknown = {member.address for member in hello.known_members} - known
         plan.sends += [
             (address, CatchupRequest(node_state.tables.slot)) for address in sorted(unknown)
         ]
--- a/src/willowpost/consensus/replica/catchup.py
+++ b/src/willowpost/consensus/replica/catchup.py
@@ -51,7 +51,7 @@
         """
         plan = Plan()
         match event:
-            case Received(source, BallotState(again=True, slot=slot)) if (
+            case Received(source, BallotState(is_resend=True, slot=slot)) if (
                 self.node_state.log_floor <= slot < self.node_state.tables.slot
             ):
                 # A sender that needs a snapshot instead requests its chunks itself.
@@ -76,7 +76,7 @@
                 plan.send(source, CatchupResponse(request.slot, command=command))
         elif not node_state.is_bootstrapped:
             return
-        elif request.blank or request.slot < node_state.log_floor:
+        elif request.has_no_tables or request.slot < node_state.log_floor:
             self._send_snapshot_chunk(source, request, now, plan)
         else:
             self._send_decisions(source, request.slot, plan)
@@ -102,12 +102,12 @@
         node_state = self.node_state
         chunk = node_state.outgoing_snapshot.chunk(
             node_state.tables,
-            NO_SLOT if request.blank else request.slot,
+            NO_SLOT if request.has_no_tables else request.slot,
             node_state.log_floor,
             request.snapshot,
             now,
         )
-        plan.send(source, CatchupResponse(node_state.tables.slot, piece=chunk))
+        plan.send(source, CatchupResponse(node_state.tables.slot, chunk=chunk))
 
     # As a replica that is behind
 
@@ -116,8 +116,8 @@
         slot_before = node_state.tables.slot
         if response.snapshot:
             self._install_snapshot(source, response.snapshot, plan)
-        if response.piece is not None:
-            self._add_snapshot_chunk(source, response.piece, now, plan)
+        if response.chunk is not None:
+            self._add_snapshot_chunk(source, response.chunk, now, plan)
         for decision in response.decisions:
             if decision.slot == node_state.tables.slot and node_state.is_bootstrapped:
                 node_state.commit(decision, plan)
@@ -167,7 +167,7 @@
         self.requested_at = now
         request = CatchupRequest(
             node_state.tables.slot,
-            blank=not node_state.is_bootstrapped,
+            has_no_tables=not node_state.is_bootstrapped,
             snapshot=node_state.incoming_snapshot.request(),
         )
         plan.send(source, request)
--- a/src/willowpost/consensus/replica/quorum_reads.py
+++ b/src/willowpost/consensus/replica/quorum_reads.py
@@ -81,7 +81,7 @@
         node_state = self.node_state
         if not node_state.is_bootstrapped:
             return
-        if poll.blank or poll.slot < node_state.log_floor:
+        if poll.has_no_tables or poll.slot < node_state.log_floor:
             plan.send(source, self._snapshot_update(poll, now))
         else:
             plan.send(source, self._decisions_update(poll, now))
@@ -112,10 +112,10 @@
         is_fresh, age = self._freshness(now)
         chunk = node_state.outgoing_snapshot.chunk(
             node_state.tables,
-            NO_SLOT if poll.blank else poll.slot,
+            NO_SLOT if poll.has_no_tables else poll.slot,
             node_state.log_floor,
             poll.snapshot,
             now,
         )
         # The follower is fresh only once it has all that is here, not just the snapshot's slot.
-        return StateUpdate(poll.nonce, node_state.tables.slot, age, is_fresh, piece=chunk)
+        return StateUpdate(poll.nonce, node_state.tables.slot, age, is_fresh, chunk=chunk)
--- a/src/willowpost/consensus/replica/tuning.py
+++ b/src/willowpost/consensus/replica/tuning.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 
 MIB = 1024 * 1024  # bytes
 
@@ -25,12 +25,12 @@
         max_segment_bytes: bytes appended between two snapshots.
     """
 
-    resend_interval_us: int = 60 * MILLI
+    resend_interval_us: int = 60 * MILLISECOND
     proposal_delay_us: int = 0
-    synced_index_interval_us: int = 100 * MILLI
-    catchup_interval_us: int = 40 * MILLI
-    quorum_read_interval_us: int = 150 * MILLI
-    hello_interval_us: int = 200 * MILLI
+    synced_index_interval_us: int = 100 * MILLISECOND
+    catchup_interval_us: int = 40 * MILLISECOND
+    quorum_read_interval_us: int = 150 * MILLISECOND
+    hello_interval_us: int = 200 * MILLISECOND
     max_retained_decisions: int = 512
     max_retained_bytes: int = 8 * MIB
     max_segment_decisions: int = 2048
--- a/src/willowpost/drill/capacity/lightweight.py
+++ b/src/willowpost/drill/capacity/lightweight.py
@@ -3,7 +3,7 @@
 The rest of a large fleet is replaced by simulated peers.
 """
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.drill.capacity.filled import (
@@ -21,9 +21,9 @@
 from willowpost.proxy.node import ProxyNode
 from willowpost.registry.node import RegistryNode
 from willowpost.registry.origin_health import HeartbeatReceived
-from willowpost.shell.mesh import HEAD
+from willowpost.shell.mesh import FRAME_HEADER
 from willowpost.sim.world import World, seconds
-from willowpost.store.node import StoreNode
+from willowpost.store.node import StoreNode, StoreOptions
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import Member
 
@@ -105,13 +105,15 @@
                 node_state.log_floor = node_state.snapshot_slot = self.tables.slot
                 node_state.passed_epoch = self.tables.epoch
                 node = StoreNode(
-                    me,
-                    seeds,
-                    self.size.voters,
+                    StoreOptions(
+                        member=me,
+                        seeds=tuple(seeds),
+                        bootstrap_voters=self.size.voters,
+                        incarnation=descriptor.incarnation,
+                    ),
                     node_state.segment_records(),
                     now,
                     wall,
-                    descriptor.incarnation,
                 )
             else:
                 node = (
@@ -135,7 +137,7 @@
 
     def _look(self):
         YARDSTICK.look()
-        self.at(50 * MILLI, self._look)
+        self.at(50 * MILLISECOND, self._look)
 
     def _purge(self):
         self.purged += 1
@@ -161,11 +163,11 @@
                 self.encoded = (message, frame)
                 spent.nanos += nanos
             frame = self.encoded[1]
-            spent.told(type(message).__name__, len(frame) + HEAD.size)
+            spent.told(type(message).__name__, len(frame) + FRAME_HEADER.size)
             self.sent[type(message).__name__] += 1
             if address in self.simulated_peers.descriptors:
                 if isinstance(message, ANSWERED):
-                    self.at(MILLI, self.simulated_peers.hear, address, seat.address, message)
+                    self.at(MILLISECOND, self.simulated_peers.hear, address, seat.address, message)
             else:
                 self.post(address, frame)
 
@@ -182,5 +184,5 @@
         spent = self.meter.spent[address]
         (source, message), nanos = self.meter.timed(self.codec.decode, frame)
         spent.nanos += nanos
-        spent.heard(type(message).__name__, len(frame) + HEAD.size)
+        spent.heard(type(message).__name__, len(frame) + FRAME_HEADER.size)
         self.give(address, Received(source, message))
--- a/src/willowpost/drill/capacity/report.py
+++ b/src/willowpost/drill/capacity/report.py
@@ -2,8 +2,8 @@
 
 from dataclasses import replace
 
-from willowpost.common.clock import MILLI
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.common.clock import MILLISECOND
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.drill.capacity.fit import Fitter
 from willowpost.drill.capacity.lightweight import LightweightFleet
 from willowpost.drill.capacity.size import BUDGET, DESIGN, LADDER, Budget, Size
@@ -198,7 +198,13 @@
         for between in (1, 12, 30, 60):
             for rate in (GATHERED, DESIGN.purges):
                 found = PaceMeasure(
-                    list("abcde"), regions, between * MILLI, MILLI, ReplicaTuning(), rate, self.seed
+                    list("abcde"),
+                    regions,
+                    between * MILLISECOND,
+                    MILLISECOND,
+                    ReplicaTuning(),
+                    rate,
+                    self.seed,
                 ).run(10.0)
                 self.line(
                     f"{between} | {rate:g} | {rate * 10:g} | {found.commands} | {found.slots} | "
--- a/src/willowpost/drill/capacity/simulated_peers.py
+++ b/src/willowpost/drill/capacity/simulated_peers.py
@@ -2,10 +2,10 @@
 
 from willowpost.common.clock import SECOND
 from willowpost.drill.capacity.filled import beat_of, homes_of
-from willowpost.node.failure_detector import PING_EVERY
-from willowpost.node.follower import POLL_EVERY
+from willowpost.node.failure_detector import PING_INTERVAL_US
+from willowpost.node.follower import POLL_INTERVAL_US
 from willowpost.node.node_state import NodeState
-from willowpost.proxy.admission.quota_shares import LOOK_EVERY
+from willowpost.proxy.admission.quota_share_owner import CHECK_INTERVAL_US
 from willowpost.wire.messages import (
     Ping,
     Poll,
@@ -69,12 +69,14 @@
         ]
         for peer in self.descriptors.values():
             if peer.kind != "store" and (source := self._source(peer)) in seats:
-                self._every(POLL_EVERY, lambda peer=peer, source=source: self._poll(peer, source))
+                self._every(
+                    POLL_INTERVAL_US, lambda peer=peer, source=source: self._poll(peer, source)
+                )
             for target in world.watched[peer.id]:
                 address = world.tables.daemons[target].address
                 if address in seats:
                     self._every(
-                        PING_EVERY,
+                        PING_INTERVAL_US,
                         lambda peer=peer, address=address: self._say(
                             peer.address, address, Ping(self._next(), peer.incarnation_id)
                         ),
@@ -82,7 +84,7 @@
             if peer.kind == "proxy":
                 for key, fencing_token, address in owned:
                     self._every(
-                        LOOK_EVERY,
+                        CHECK_INTERVAL_US,
                         lambda peer=peer, key=key, fencing_token=fencing_token, address=address: (
                             self._say(
                                 peer.address,
--- a/src/willowpost/drill/capacity/steps.py
+++ b/src/willowpost/drill/capacity/steps.py
@@ -1,6 +1,6 @@
 """The cost of a daemon's smallest events (idle tick, ping) and of coding a small message."""
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.common.events import Received, Tick
 from willowpost.drill.capacity.lightweight import LightweightFleet
 from willowpost.drill.capacity.size import Size
@@ -45,7 +45,7 @@
                     "tick",
                     millis(
                         lambda: [
-                            seat.node.step(Tick(), now + number * 20 * MILLI)
+                            seat.node.step(Tick(), now + number * 20 * MILLISECOND)
                             for number in range(TICKS)
                         ],
                         times=1,
--- a/src/willowpost/drill/capacity/units.py
+++ b/src/willowpost/drill/capacity/units.py
@@ -12,8 +12,9 @@
 from willowpost.drill.capacity.filled import FilledTables, configuration_of, purge_of
 from willowpost.drill.capacity.size import Size
 from willowpost.node.failure_detector import watchers_of
-from willowpost.proxy.cache.store import CacheStore, Entry
-from willowpost.proxy.routing.snapshot import SnapshotMaker
+from willowpost.proxy.cache.entry import CacheEntry
+from willowpost.proxy.cache.store import CacheStore
+from willowpost.proxy.routing.snapshot_maker import SnapshotMaker
 from willowpost.state.apply import StateMachine
 from willowpost.state.codec import encode_operation
 from willowpost.state.configuration_changes import ConfigurationProposal
@@ -205,7 +206,8 @@
                     (
                         count,
                         millis(
-                            lambda: cache.purged_since(cache.floor, "h.example", "/none"), times=20
+                            lambda: cache.is_purged_since(cache.purge_floor, "h.example", "/none"),
+                            times=20,
                         ),
                     )
                     for count, cache in caches.items()
@@ -236,8 +238,8 @@
         cache = CacheStore()
         cache.purge(tables)
         for number in range(entries):
-            cache.keep(
-                Entry("h.example", f"/part/{number}", (), 200, (), b"", 0, 10**9, tables.slot)
+            cache.store(
+                CacheEntry("h.example", f"/part/{number}", (), 200, (), b"", 0, 10**9, tables.slot)
             )
         return cache
 
--- a/src/willowpost/drill/capacity/wire.py
+++ b/src/willowpost/drill/capacity/wire.py
@@ -7,7 +7,7 @@
 
 from willowpost.drill.fleet import free_port
 from willowpost.shell.mesh import Mesh
-from willowpost.shell.sized_queue import inbox
+from willowpost.shell.sized_queue import create_inbox
 from willowpost.wire.codec import Codec
 from willowpost.wire.messages import Ping
 
@@ -37,8 +37,11 @@
 
     def run(self) -> float:
         """µs of one message, both ends together, without encoding and decoding."""
-        port, taken = free_port(), inbox()
-        sender, taker = Mesh(f"127.0.0.1:{port}", inbox()), Mesh(f"127.0.0.1:{port + 1}", taken)
+        port, taken = free_port(), create_inbox()
+        sender, taker = (
+            Mesh(f"127.0.0.1:{port}", create_inbox()),
+            Mesh(f"127.0.0.1:{port + 1}", taken),
+        )
         sender.codec = taker.codec = Coded()
         taker.start()
         try:
--- a/src/willowpost/drill/soak/callers.py
+++ b/src/willowpost/drill/soak/callers.py
@@ -6,7 +6,7 @@
 import gevent
 from gevent import socket
 
-from willowpost.shell.mesh import split
+from willowpost.shell.addresses import split_address
 
 ANSWER_SECONDS = 12.0
 CONNECT_SECONDS = 1.0
@@ -61,7 +61,7 @@
     """One connection of a caller."""
 
     def __init__(self, edge: str):
-        self.socket = socket.create_connection(split(edge), timeout=CONNECT_SECONDS)
+        self.socket = socket.create_connection(split_address(edge), timeout=CONNECT_SECONDS)
         self.socket.settimeout(ANSWER_SECONDS)
         self.held = b""
 
--- a/src/willowpost/drill/soak/judge.py
+++ b/src/willowpost/drill/soak/judge.py
@@ -5,7 +5,7 @@
 from willowpost.common.clock import SECOND
 from willowpost.drill.rules import Findings
 from willowpost.drill.soak.callers import KEPT, ONCE, CallerTally
-from willowpost.proxy.routing.attempt import NOT_RUN
+from willowpost.proxy.routing.attempt import NOT_RUN_STATUSES
 
 GONE_AFTER = SECOND // 2
 GONE_FEW = 3  # a close crosses what is under way, the more on a busy machine
@@ -62,7 +62,7 @@
         lied = [
             name
             for name, request in sent.items()
-            if request.kind == ONCE and request.status in NOT_RUN and self.runs.get(name)
+            if request.kind == ONCE and request.status in NOT_RUN_STATUSES and self.runs.get(name)
         ]
         self._add(findings, "what is told not-run has not run", f"{len(sent)} sent", lied)
         self._add(findings, "no answer is another's", "", self.tally.wrong)
--- a/src/willowpost/drill/soak/process.py
+++ b/src/willowpost/drill/soak/process.py
@@ -10,7 +10,7 @@
 from importlib import import_module
 from pathlib import Path
 
-import willowpost.shell.starting  # noqa: F401  before what takes long to import
+import willowpost.shell.startup_signals  # noqa: F401  before what takes long to import
 from willowpost.shell.mesh import Mesh
 
 CUTS_VARIABLE = "WILLOWPOST_SOAK_CUTS"
--- a/src/willowpost/drill/tools.py
+++ b/src/willowpost/drill/tools.py
@@ -9,8 +9,8 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
-from willowpost.common.clock import MILLI
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.common.clock import MILLISECOND
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.sim.fault_schedules import CoreFaultSchedule
 from willowpost.sim.fleet.bounded_faults import BoundedFaultSchedule
 from willowpost.sim.fleet.fault_schedule import FleetFaultSchedule
@@ -108,13 +108,14 @@
             for jitter in self.option("jitter").split(","):
                 for rate in self.option("rates").split(","):
                     pace = ReplicaTuning(
-                        freeze=int(float(freeze) * MILLI), resend=own.get("resend", 60) * MILLI
+                        proposal_delay_us=int(float(freeze) * MILLISECOND),
+                        resend_interval_us=own.get("resend", 60) * MILLISECOND,
                     )
                     found = PaceMeasure(
                         zones,
                         deployment["regions"],
-                        deployment["between"]["ms"] * MILLI,
-                        int(float(jitter) * MILLI),
+                        deployment["between"]["ms"] * MILLISECOND,
+                        int(float(jitter) * MILLISECOND),
                         pace,
                         float(rate),
                         int(self.option("seed")),
--- a/src/willowpost/model/disk_facts.py
+++ b/src/willowpost/model/disk_facts.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from willowpost.consensus.replica.barrier import previous_identities
+from willowpost.consensus.replica import restoration
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.model.logical_time import NOW
 from willowpost.state.apply.voters import is_change_complete
@@ -37,13 +37,13 @@
     records = [json.loads(line) for line in lines]
     me = MEMBER.decode(records[0])
     state = ReplicaState(me)
-    state.restore(records, NOW)
+    restoration.restore_state(state, records, NOW)
     tables = state.tables
     return DiskFacts(
         identity=me.identity,
         slot=tables.slot,
         epoch=tables.epoch,
         voters=tables.voter_identities(),
-        previous_voters=frozenset(previous_identities(tables)),
+        previous_voters=frozenset(tables.previous_voter_identities()),
         opened=state.passed_epoch >= tables.epoch or is_change_complete(tables),
     )
--- a/src/willowpost/model/parts.py
+++ b/src/willowpost/model/parts.py
@@ -101,5 +101,5 @@
 
     def reads(self, name: str) -> bool:
         """Whether the process begins a quorum read when its timers are due."""
-        reading_stores = self.scope.pace.read != READS_OFF
+        reading_stores = self.scope.pace.quorum_read_interval_us != READS_OFF
         return name == READER or (name in self.stores and reading_stores)
--- a/src/willowpost/model/processes.py
+++ b/src/willowpost/model/processes.py
@@ -8,6 +8,7 @@
 from willowpost.common.events import Received
 from willowpost.common.events import Tick as TickEvent
 from willowpost.common.plan import Plan
+from willowpost.consensus.replica import restoration
 from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.consensus.replica.records import decision_record, founding_record, identity_record
 from willowpost.consensus.replica.replica_state import ReplicaState
@@ -23,7 +24,7 @@
 from willowpost.state.codec import MEMBER, encode_operation
 from willowpost.state.entries import DaemonDescriptor
 from willowpost.state.tables import Tables
-from willowpost.store.node import StoreNode
+from willowpost.store.node import StoreNode, StoreOptions
 from willowpost.wire.messages import Command, Decision, Member
 
 READER = "reader"
@@ -55,7 +56,7 @@
             READER, "registry", "core", READER, "z", READER, "", incarnation_of(1)
         )
         self.node_state = NodeState(descriptor, tables)
-        self.follower = Follower(self.node_state, (), tree=False)
+        self.follower = Follower(self.node_state, (), may_poll_proxies=False)
         self.quorum_read = QuorumRead(self.node_state, self.follower)
 
     def step(self, event: Any, now: int) -> Plan:
@@ -110,7 +111,7 @@
     """The tables that follow from the bootstrap and the scope's log prefix."""
     voter = voters_of(scope)[0]
     state = ReplicaState(member_of(voter))
-    state.restore(_founded_disk(scope, voter), NOW)
+    restoration.restore_state(state, _founded_disk(scope, voter), NOW)
     return state.tables
 
 
@@ -142,16 +143,18 @@
     me = MEMBER.decode(records[0])
     seeds = tuple(each.name for each in voters_of(scope))
     node = StoreNode(
-        me,
-        seeds,
-        len(seeds),
+        StoreOptions(
+            member=me,
+            seeds=seeds,
+            bootstrap_voters=len(seeds),
+            incarnation=incarnation_of(life),
+            tuning=scope.pace,
+            thresholds=thresholds,
+            voter_policy=VoterPolicy(may_bootstrap=False, max_voters=scope.max_voters),
+        ),
         list(records),
         NOW,
         wall_clock,
-        incarnation_of(life),
-        scope.pace,
-        thresholds,
-        rights=VoterPolicy(may_bootstrap=False, max_voters=scope.max_voters),
     )
     node.controllers = [each for each in node.controllers if not isinstance(each, NOT_MODELLED)]
     return node
--- a/src/willowpost/model/protections.py
+++ b/src/willowpost/model/protections.py
@@ -7,9 +7,8 @@
 from typing import Any
 
 from willowpost.common.nonce import NonceSequence
-from willowpost.consensus.replica import barrier
-from willowpost.consensus.replica.quorum_reads import Reads
-from willowpost.consensus.replica.replica_state import ReplicaState
+from willowpost.consensus.replica import barrier, restoration
+from willowpost.consensus.replica.quorum_reads import QuorumReads
 from willowpost.consensus.replica.voting import Voting
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.model.parts import Switches
@@ -85,15 +84,15 @@
         setattr(replacement.owner, replacement.method, original)
 
 
-def _whatever_the_epoch(owner: type) -> Replacement:
-    original: Callable[[Any], None] = owner._settle  # type: ignore[attr-defined]
+def _whatever_the_epoch(owner: type, method: str) -> Replacement:
+    original: Callable[[Any], None] = getattr(owner, method)
 
     def settle(self: Any) -> None:
-        for read in self.reads.open.values():
+        for read in self.reads.by_nonce.values():
             read.epoch = self.node_state.tables.epoch
         original(self)
 
-    return Replacement(owner, "_settle", settle)
+    return Replacement(owner, method, settle)
 
 
 def _numbers_from_zero(self: Any, daemon: str, incarnation: int, purpose: str) -> None:
@@ -101,28 +100,28 @@
 
 
 def _holds_previous_quorum(node_state: Any) -> bool:
-    previous = barrier.previous_identities(node_state.tables)
+    previous = node_state.tables.previous_voter_identities()
     index = barrier.quorum_index(previous, node_state.synced_indexes, node_state.thresholds)
-    return index >= barrier.first_slot(node_state.tables)
+    return index >= node_state.tables.epoch_first_slot()
 
 
 def _holds_new_quorum(node_state: Any) -> bool:
     index = barrier.quorum_index(
         node_state.voter_addresses, node_state.synced_indexes, node_state.thresholds
     )
-    return index >= barrier.first_slot(node_state.tables)
+    return index >= node_state.tables.epoch_first_slot()
 
 
 def _forgetting_the_ballot_state() -> Replacement:
-    original: Callable[..., None] = ReplicaState.restore
+    original: Callable[..., None] = restoration.restore_state
 
-    def restore(self: Any, *arguments: Any) -> None:
-        original(self, *arguments)
-        if self.own_ballot_state is not None:
-            self.pending_commands.drop(self.own_ballot_state.proposal)
-            self.own_ballot_state, self.ballot_states = None, {}
+    def restore(node_state: Any, *arguments: Any) -> None:
+        original(node_state, *arguments)
+        if node_state.own_ballot_state is not None:
+            node_state.pending_commands.drop(node_state.own_ballot_state.proposal)
+            node_state.own_ballot_state, node_state.ballot_states = None, {}
 
-    return Replacement(ReplicaState, "restore", restore)
+    return Replacement(restoration, "restore_state", restore)
 
 
 PROTECTIONS = {
@@ -134,7 +133,7 @@
         Protection(
             "synced-before-accepted",
             "one-command",
-            replacements=(Replacement(ReplicaState, "safe_slot", lambda self: _ALL_SLOTS),),
+            replacements=(Replacement(barrier, "safe_slot", lambda node_state: _ALL_SLOTS),),
         ),
         Protection(
             "ballot-state-kept",
@@ -144,7 +143,7 @@
         Protection(
             "epoch-barrier",
             "unheard",
-            replacements=(Replacement(Voting, "_opened", lambda self, plan: True),),
+            replacements=(Replacement(Voting, "_open_slot", lambda self, plan: True),),
         ),
         Protection(
             "barrier-over-new-voters",
@@ -165,12 +164,12 @@
         Protection(
             "store-read-in-one-epoch",
             "store-read-over-change",
-            replacements=(_whatever_the_epoch(Reads),),
+            replacements=(_whatever_the_epoch(QuorumReads, "_advance_freshness"),),
         ),
         Protection(
             "reader-read-in-one-epoch",
             "read-over-change",
-            replacements=(_whatever_the_epoch(QuorumRead),),
+            replacements=(_whatever_the_epoch(QuorumRead, "_advance_freshness"),),
         ),
     )
 }
--- a/src/willowpost/model/scope.py
+++ b/src/willowpost/model/scope.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.model.logical_time import NEVER
 from willowpost.state.operations import Operation
 
@@ -88,7 +88,11 @@
     reader: bool = False
     ticks: dict[str, int] = field(default_factory=_no_ticks)
     budget: Budget = Budget()
-    pace: ReplicaTuning = ReplicaTuning(read=READS_OFF, synced_index=NEVER, rotate=NEVER)
+    pace: ReplicaTuning = ReplicaTuning(
+        quorum_read_interval_us=READS_OFF,
+        synced_index_interval_us=NEVER,
+        max_segment_decisions=NEVER,
+    )
     max_voters: int = 0
     opening: tuple[Passes | Ticks, ...] = ()
     cuts: frozenset[tuple[str, str]] = frozenset()
--- a/src/willowpost/model/scopes.py
+++ b/src/willowpost/model/scopes.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.model.logical_time import NEVER
 from willowpost.model.operations import (
     EVACUATE_ZONE_A,
@@ -27,7 +27,7 @@
 THREE = (Machine("s0", "a"), Machine("s1", "b"), Machine("s2", "c"))
 FIVE = (*THREE, Machine("s3", "a"), Machine("s4", "b"))
 WITH_LEARNER = (*THREE, Machine("s3", "c", Role.LEARNER))
-READING = ReplicaTuning(synced_index=NEVER, rotate=NEVER)
+READING = ReplicaTuning(synced_index_interval_us=NEVER, max_segment_decisions=NEVER)
 
 
 # s2 counts as lost, and is not: it runs on, and votes until it is replaced.
--- a/src/willowpost/model/steps.py
+++ b/src/willowpost/model/steps.py
@@ -130,4 +130,4 @@
 
 def _without_freshness(message: Any) -> Any:
     """A store's own age is not taken over: only quorum reads make the reader fresh."""
-    return replace(message, fresh=False) if isinstance(message, StateUpdate) else message
+    return replace(message, is_fresh=False) if isinstance(message, StateUpdate) else message
--- a/src/willowpost/node/command_client.py
+++ b/src/willowpost/node/command_client.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick, WithdrawSubmission
 from willowpost.common.plan import Plan
 from willowpost.node.pending_commands import PendingCommand, Submission
@@ -14,9 +14,9 @@
 from willowpost.state.results import Result
 from willowpost.wire.messages import Command, CommandAccepted, SubmitCommand
 
-MAX_BATCH_AGE_US = 5 * MILLI
+MAX_BATCH_AGE_US = 5 * MILLISECOND
 MAX_BATCH_OPERATIONS = 20
-RETRY_INTERVAL_US = 400 * MILLI
+RETRY_INTERVAL_US = 400 * MILLISECOND
 # A store that left a command unanswered is the last choice for so long.
 UNRESPONSIVE_STORE_PENALTY_US = 5 * SECOND
 
@@ -161,7 +161,7 @@
 
     def _handle_answer(self, accepted: CommandAccepted, now: int, plan: Plan) -> None:
         entry = self.pending.pop(accepted.key)
-        match decode_outcome(accepted.slot, accepted.answers):
+        match decode_outcome(accepted.slot, accepted.results):
             case Barred(incarnation=incarnation):
                 # An earlier run of this daemon had a later incarnation (its clock ran ahead). The
                 # command was never applied, so it may be submitted as a new one.
--- a/src/willowpost/node/failure_detector.py
+++ b/src/willowpost/node/failure_detector.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
@@ -18,10 +18,10 @@
 from willowpost.state.tables import Tables
 from willowpost.wire.messages import Ping, Pong
 
-PING_INTERVAL_US = 400 * MILLI
-SUSPECT_AFTER_US = 1_600 * MILLI
+PING_INTERVAL_US = 400 * MILLISECOND
+SUSPECT_AFTER_US = 1_600 * MILLISECOND
 # A longer pause between two ticks means that this process itself was frozen.
-MAX_TICK_GAP_US = 600 * MILLI
+MAX_TICK_GAP_US = 600 * MILLISECOND
 WATCHERS = 3
 REPORT_INTERVAL_US = 1 * SECOND
 # A report is repeated as long as it is true, and must not be applied long after it ceased to be.
@@ -88,7 +88,7 @@
         match event:
             case Received(source, Ping(nonce, _)):
                 plan.send(source, Pong(nonce, self.descriptor.incarnation_id))
-            case Received(_, Pong(nonce, incarnation_id)) if self.nonces.issued(nonce):
+            case Received(_, Pong(nonce, incarnation_id)) if self.nonces.has_issued(nonce):
                 self.last_pong_at[incarnation_id] = now
             case Tick():
                 self._tick(now, plan)
--- a/src/willowpost/node/follower.py
+++ b/src/willowpost/node/follower.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 from typing import Any
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.common.formats import UnknownFormatError
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
-from willowpost.consensus.log_size import trailing
+from willowpost.consensus.log_size import longest_suffix
 from willowpost.node.node_state import (
     LEASE_US,
     MAX_RECENT_DECISIONS,
@@ -24,9 +24,9 @@
 from willowpost.state.tables import tables_from
 from willowpost.wire.messages import Decision, Hello, Ping, Poll, StateUpdate
 
-POLL_INTERVAL_US = 150 * MILLI
+POLL_INTERVAL_US = 150 * MILLISECOND
 POLL_TIMEOUT_US = 2 * SECOND
-HELLO_INTERVAL_US = 300 * MILLI
+HELLO_INTERVAL_US = 300 * MILLISECOND
 # Without state updates for so long, all known daemons may be gone and the seeds have changed.
 SOURCES_LOST_AFTER_US = 3 * SECOND
 
@@ -76,7 +76,7 @@
                 self._handle_hello(source, hello, now, plan)
             case Received(source, Ping()) if not self.node_state.tables.voters:
                 # A watcher of this daemon has tables, even if the seeds are gone.
-                plan.send(source, Hello(answer=False))
+                plan.send(source, Hello(is_reply=False))
             case SettingsChanged(seeds=seeds):
                 self.seeds = tuple(seeds)
             case Tick():
@@ -91,7 +91,7 @@
     def _tick(self, now: int, plan: Plan) -> None:
         if self._needs_seeds(now) and now - self.last_hello_at >= HELLO_INTERVAL_US:
             self.last_hello_at = now
-            plan.sends += [(seed, Hello(answer=False)) for seed in self.seeds]
+            plan.sends += [(seed, Hello(is_reply=False)) for seed in self.seeds]
         if now - self.last_poll_at < POLL_INTERVAL_US:
             return
         source = self.source_selector.select(now)
@@ -109,11 +109,15 @@
 
     def _handle_hello(self, source: str, hello: Hello, now: int, plan: Plan) -> None:
         tables = self.node_state.tables
-        if not hello.answer:
-            answer = Hello(bootstrapped=tables.epoch > 0, answer=True, known=tables.voters)
+        if not hello.is_reply:
+            answer = Hello(
+                is_bootstrapped=tables.epoch > 0, is_reply=True, known_members=tables.voters
+            )
             plan.send(source, answer)
-        elif hello.bootstrapped and self._needs_seeds(now):
-            self.node_state.seed_store_addresses = tuple(member.address for member in hello.known)
+        elif hello.is_bootstrapped and self._needs_seeds(now):
+            self.node_state.seed_store_addresses = tuple(
+                member.address for member in hello.known_members
+            )
 
     def _send_poll(self, address: str, now: int, plan: Plan) -> None:
         node_state, nonce = self.node_state, self.nonces.next()
@@ -135,13 +139,13 @@
         if sent_at is None:
             return
         self.source_selector.record_update(now)
-        if state_update.fresh and state_update.age <= LEASE_US:
+        if state_update.is_fresh and state_update.age_us <= LEASE_US:
             node_state.quorum_contact_at = now
         has_progressed = self._receive_snapshot(state_update, now, plan)
         self._apply_decisions(state_update.decisions)
         has_reached = node_state.tables.epoch and node_state.tables.slot >= state_update.slot
-        if state_update.fresh and has_reached:
-            node_state.confirm_fresh(sent_at - state_update.age)
+        if state_update.is_fresh and has_reached:
+            node_state.confirm_fresh(sent_at - state_update.age_us)
             node_state.seed_store_addresses = ()
         elif has_progressed:
             self._send_poll(source, now, plan)  # the next chunk, or what was decided since
@@ -151,7 +155,7 @@
     def _receive_snapshot(self, state_update: StateUpdate, now: int, plan: Plan) -> bool:
         """Receive a snapshot or a chunk; whether the tables or a transfer made progress."""
         incoming, text = self.node_state.incoming_snapshot, state_update.snapshot
-        chunk = state_update.piece
+        chunk = state_update.chunk
         if chunk is not None and self._is_newer(chunk.slot):
             text = incoming.add(chunk, now) or ""
         if not text:
@@ -181,7 +185,7 @@
         if applied:
             recent = node_state.recent_decisions + tuple(applied)
             node_state.tables = tables
-            node_state.recent_decisions = trailing(
+            node_state.recent_decisions = longest_suffix(
                 recent, MAX_RECENT_DECISIONS, MAX_RECENT_DECISIONS_BYTES
             )
 
--- a/src/willowpost/node/graceful_shutdown.py
+++ b/src/willowpost/node/graceful_shutdown.py
@@ -6,7 +6,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.node.command_client import CommandClient
@@ -40,9 +40,9 @@
 # once a second.
 DRAIN_TIMEOUT_US = 3 * SECOND
 FINISH_TIMEOUT_US = 30 * SECOND
-LEAVE_TIMEOUT_US = 1_500 * MILLI
+LEAVE_TIMEOUT_US = 1_500 * MILLISECOND
 # Responses whose last bytes were just written need so long to leave the machine.
-MIN_FINISHING_US = 100 * MILLI
+MIN_FINISHING_US = 100 * MILLISECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/willowpost/node/node_state.py
+++ b/src/willowpost/node/node_state.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.common.rendezvous import weight
 from willowpost.state.entries import DaemonDescriptor, DaemonEntry
 from willowpost.state.lifecycle import DaemonState
@@ -12,13 +12,13 @@
 
 # How long the owner of a singleton role may rely on it without state updates, and a proxy serves
 # on unless its settings say longer.
-LEASE_US = 1_500 * MILLI
+LEASE_US = 1_500 * MILLISECOND
 # Without a quorum-confirmed update for so long, calls are refused at once. In normal operation the
 # age is 150 to 400 ms, and up to 800 ms when the source has just died.
-MAX_IN_TOUCH_AGE_US = 1_200 * MILLI
+MAX_IN_TOUCH_AGE_US = 1_200 * MILLISECOND
 # Shorter than LEASE_US: a daemon that a fault cuts off has had no message for so long when its
 # tables are as old as LEASE_US, and serves on without a pause.
-QUORUM_CONTACT_TIMEOUT_US = 1_000 * MILLI
+QUORUM_CONTACT_TIMEOUT_US = 1_000 * MILLISECOND
 MAX_RECENT_DECISIONS = 512
 MAX_RECENT_DECISIONS_BYTES = 2 * 1024 * 1024
 
--- a/src/willowpost/node/poll_responses.py
+++ b/src/willowpost/node/poll_responses.py
@@ -1,6 +1,6 @@
 """Answers the polls of daemons that follow the log through this one."""
 
-from willowpost.consensus.log_size import leading
+from willowpost.consensus.log_size import longest_prefix
 from willowpost.node.node_state import NodeState
 from willowpost.state.snapshot_transfer import NO_SLOT
 from willowpost.wire.messages import Decision, Poll, SnapshotChunk, StateUpdate
@@ -27,18 +27,18 @@
     first_slot = node_state.tables.slot - len(node_state.recent_decisions)
     chunk: SnapshotChunk | None = None
     decisions: tuple[Decision, ...] = ()
-    if poll.blank or poll.slot < first_slot:
+    if poll.has_no_tables or poll.slot < first_slot:
         chunk = node_state.outgoing_snapshot.chunk(
             node_state.tables,
-            NO_SLOT if poll.blank else poll.slot,
+            NO_SLOT if poll.has_no_tables else poll.slot,
             first_slot,
             poll.snapshot,
             now,
         )
     elif poll.slot < node_state.tables.slot:
         recent = node_state.recent_decisions[poll.slot - first_slot :]
-        decisions = leading(recent, MAX_DECISIONS_BYTES)
+        decisions = longest_prefix(recent, MAX_DECISIONS_BYTES)
     slot = poll.slot + len(decisions) if decisions else node_state.tables.slot
     age = node_state.tables_age(now)
     is_fresh = age is not None and slot >= node_state.tables.slot >= poll.slot
-    return StateUpdate(poll.nonce, slot, age or 0, is_fresh, decisions, piece=chunk)
+    return StateUpdate(poll.nonce, slot, age or 0, is_fresh, decisions, chunk=chunk)
--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -2,18 +2,18 @@
 
 from typing import Any
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
-from willowpost.consensus.open_reads import OpenReads
+from willowpost.consensus.pending_reads import PendingReads
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.follower import Follower
 from willowpost.node.node_state import NodeState
 from willowpost.node.source_selection import MAX_TABLE_AGE_US
 from willowpost.wire.messages import QuorumReadRequest, QuorumReadResponse
 
-READ_INTERVAL_US = 150 * MILLI
+READ_INTERVAL_US = 150 * MILLISECOND
 NEVER_US = -SECOND  # stands for the response of a voter that has sent none
 
 
@@ -32,7 +32,7 @@
         self.follower = follower
         descriptor = node_state.descriptor
         self.nonces = NonceSequence(descriptor.id, descriptor.incarnation, "read")
-        self.reads = OpenReads()
+        self.reads = PendingReads()
         self.last_response_at: dict[str, int] = {}  # by the voter's identity
         self.last_read_at = -READ_INTERVAL_US
 
@@ -57,9 +57,9 @@
         self, source: str, response: QuorumReadResponse, now: int, plan: Plan
     ) -> None:
         self._record_contact(response.identity, now)
-        if response.nonce not in self.reads.open:
+        if response.nonce not in self.reads.by_nonce:
             return
-        self.reads.hear(response.nonce, response.identity, response.slot)
+        self.reads.record_response(response.nonce, response.identity, response.slot)
         if response.slot > self.node_state.tables.slot:
             self.follower.poll(source, now, plan)
 
@@ -72,7 +72,7 @@
 
     def _begin_read(self, now: int, plan: Plan) -> None:
         nonce, self.last_read_at = self.nonces.next(), now
-        self.reads.begin(nonce, now, self.node_state.tables.epoch, {})
+        self.reads.start(nonce, now, self.node_state.tables.epoch, {})
         for voter in self.node_state.tables.voters:
             plan.send(voter.address, QuorumReadRequest(nonce))
 
@@ -100,6 +100,6 @@
     def _advance_freshness(self) -> None:
         """Confirm the tables as of the newest read that a quorum has answered."""
         tables = self.node_state.tables
-        requested_at = self.reads.settled(tables.epoch, self._quorum(), tables.slot)
+        requested_at = self.reads.complete_newest(tables.epoch, self._quorum(), tables.slot)
         if requested_at is not None:
             self.node_state.confirm_fresh(requested_at)
--- a/src/willowpost/node/source_selection.py
+++ b/src/willowpost/node/source_selection.py
@@ -1,11 +1,11 @@
 """Selects the daemon that a follower polls for state updates."""
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.node.node_state import NodeState
 
-SOURCE_TIMEOUT_US = 450 * MILLI
-MAX_TABLE_AGE_US = 700 * MILLI
+SOURCE_TIMEOUT_US = 450 * MILLISECOND
+MAX_TABLE_AGE_US = 700 * MILLISECOND
 PREFERRED_SOURCE_RETRY_US = 2 * SECOND
 MAX_PROXY_SOURCES = 2
 
--- a/src/willowpost/proxy/admission/admission_tokens.py
+++ b/src/willowpost/proxy/admission/admission_tokens.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.common.events import Received, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.common.plan import Plan
@@ -18,7 +18,7 @@
 from willowpost.proxy.routing.snapshot import RoutableService
 from willowpost.wire.messages import AdmissionTokenRequest, AdmissionTokenResponse
 
-RESPONSE_TIMEOUT_US = 300 * MILLI
+RESPONSE_TIMEOUT_US = 300 * MILLISECOND
 BUCKET_BURST = 1.0
 
 
@@ -143,7 +143,7 @@
 
     def _take(self, request: AdmissionTokenRequest, now: int) -> bool:
         """Whether a token is given, which is then taken from its bucket."""
-        name, fencing_token, origin = request.service, request.fence, request.origin
+        name, fencing_token, origin = request.service, request.fencing_token, request.origin
         since = self.owner.granting_since(name, fencing_token, now)
         if since is None:
             return False
--- a/src/willowpost/proxy/admission/quota_share_owner.py
+++ b/src/willowpost/proxy/admission/quota_share_owner.py
@@ -3,12 +3,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.node.command_client import CommandClient
-from willowpost.node.node_state import LEASE
+from willowpost.node.node_state import LEASE_US
 from willowpost.proxy.admission.quota import grantable_rate_of, is_admitted_by_tokens, role_of
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import RoutableService
@@ -18,8 +18,8 @@
 
 GRANT_DURATION_US = 1 * SECOND
 # Until no grant of a previous owner is valid.
-OWNERSHIP_WAIT_US = LEASE + GRANT_DURATION_US
-CHECK_INTERVAL_US = 250 * MILLI
+OWNERSHIP_WAIT_US = LEASE_US + GRANT_DURATION_US
+CHECK_INTERVAL_US = 250 * MILLISECOND
 CLAIM_INTERVAL_US = 1 * SECOND
 DEMAND_LIFETIME_US = 2 * SECOND
 # Rates and demand are sent in thousandths of a request a second.
@@ -181,7 +181,7 @@
 
     def _grant(self, sender: str, request: QuotaShareRequest, now: int, plan: Plan) -> None:
         """Grants a sender its share of the rate by the demand of all senders."""
-        if self.granting_since(request.service, request.fence, now) is None:
+        if self.granting_since(request.service, request.fencing_token, now) is None:
             return
         service = self.node_state.snapshot.services[request.service]
         if is_admitted_by_tokens(service):
@@ -197,7 +197,7 @@
         rate = _grant_of(sender, service, owned.demands, other_grants)
         owned.grants = {**other_grants, sender: GrantedRate(rate, now + GRANT_DURATION_US)}
         response = QuotaShareResponse(
-            request.nonce, request.service, request.fence, int(rate * THOUSANDTHS)
+            request.nonce, request.service, request.fencing_token, int(rate * THOUSANDTHS)
         )
         plan.send(sender, response)
 
--- a/src/willowpost/proxy/admission/retry_budget.py
+++ b/src/willowpost/proxy/admission/retry_budget.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from willowpost.common.clock import MILLI, SECOND
-from willowpost.proxy.origin.exchange import UNACKNOWLEDGED_MOST_MS
+from willowpost.common.clock import MILLISECOND, SECOND
+from willowpost.proxy.origin.exchange import TCP_USER_TIMEOUT_MS
 
 SMOOTHING_FACTOR = 0.1  # weight of the newest retry in the share of those that helped
 
@@ -33,7 +33,7 @@
     min_retries: float = 60
     window_us: int = 10 * SECOND
     usable_fraction: float = 0.8
-    max_delay_us: int = UNACKNOWLEDGED_MOST_MS * MILLI
+    max_delay_us: int = TCP_USER_TIMEOUT_MS * MILLISECOND
     min_helped_fraction: float = 0.25
 
 
--- a/src/willowpost/proxy/cache/entry.py
+++ b/src/willowpost/proxy/cache/entry.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class CacheEntry:
     """A stored response; its body is complete.
 
     Attributes:
@@ -18,11 +18,11 @@
         status: The HTTP status code.
         headers: (lower-case name, value) pairs.
         body: The complete body.
-        born_at: When the response was generated, by this process's clock, in µs.
-        lifetime: How long it is fresh after `born_at`, in µs.
+        generated_at: When the response was generated, by this process's clock, in µs.
+        lifetime: How long it is fresh after `generated_at`, in µs.
         slot: The least log slot known to any daemon that the fetch passed when it began. Every
             purge in that slot or a later one removes the entry.
-        public: Whether it may answer requests with an Authorization header.
+        is_public: Whether it may answer requests with an Authorization header.
         tags: The tags that the origin gave it, for purges by tag.
     """
 
@@ -32,10 +32,10 @@
     status: int
     headers: tuple[Header, ...]
     body: bytes
-    born_at: int
+    generated_at: int
     lifetime: int
     slot: int
-    public: bool = False
+    is_public: bool = False
     tags: tuple[str, ...] = ()
 
     @property
@@ -56,8 +56,8 @@
 
     def age(self, now: int) -> int:
         """Returns how old the response is, in µs."""
-        return max(0, now - self.born_at)
+        return max(0, now - self.generated_at)
 
-    def fresh(self, now: int) -> bool:
+    def is_fresh(self, now: int) -> bool:
         """Whether it may be served without revalidation."""
         return self.age(now) < self.lifetime
--- a/src/willowpost/proxy/cache/purges.py
+++ b/src/willowpost/proxy/cache/purges.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from willowpost.proxy.cache.entry import CacheKey, Entry
+from willowpost.proxy.cache.entry import CacheEntry, CacheKey
 from willowpost.state.entries import Purge, PurgeKind
 
 ANY_HOST = ("*", "")
@@ -65,7 +65,9 @@
     def __init__(self) -> None:
         self.keys_by_tag: dict[str, set[CacheKey]] = {}
 
-    def update(self, key: CacheKey, before: Iterable[Entry], after: Iterable[Entry]) -> None:
+    def update(
+        self, key: CacheKey, before: Iterable[CacheEntry], after: Iterable[CacheEntry]
+    ) -> None:
         """Takes over that the entries of a key have been replaced."""
         tags_before = {tag for entry in before for tag in entry.tags}
         tags_after = {tag for entry in after for tag in entry.tags}
--- a/src/willowpost/proxy/cache/ranges.py
+++ b/src/willowpost/proxy/cache/ranges.py
@@ -2,7 +2,7 @@
 
 import re
 
-from willowpost.proxy.origin.answer import Header, WholeAnswer
+from willowpost.proxy.origin.response import Header, OriginResponse
 
 SINGLE_RANGE = re.compile(r"\s*bytes\s*=\s*(\d+)-(\d*)\s*")
 PARTIAL_CONTENT = 206
@@ -10,7 +10,7 @@
 ByteRange = tuple[int, int | None]  # first and last; last is None for an open range
 
 
-def one_range(value: str | None) -> ByteRange | None:
+def parse_single_range(value: str | None) -> ByteRange | None:
     """Parses a Range header that names one range with its first byte.
 
     Returns:
@@ -24,7 +24,7 @@
     return None if last is not None and last < first else (first, last)
 
 
-class PartMaker:
+class RangeResponder:
     """Makes partial responses from complete ones.
 
     A 206 keeps the stored response's headers, its seal included. A 416 is written by this proxy and
@@ -34,7 +34,7 @@
     def __init__(self, seal_header: str = "") -> None:
         self.seal_header = seal_header
 
-    def make(self, complete: WholeAnswer, byte_range: ByteRange) -> WholeAnswer:
+    def make(self, complete: OriginResponse, byte_range: ByteRange) -> OriginResponse:
         """Returns a 206 with the range's bytes, or a 416 if none of them exist."""
         size, (first, last) = len(complete.body), byte_range
         headers = [
@@ -46,9 +46,9 @@
             return self._not_satisfiable(headers, size)
         last = size - 1 if last is None else min(last, size - 1)
         headers.append(("content-range", f"bytes {first}-{last}/{size}"))
-        return WholeAnswer(PARTIAL_CONTENT, headers, complete.body[first : last + 1])
+        return OriginResponse(PARTIAL_CONTENT, headers, complete.body[first : last + 1])
 
-    def _not_satisfiable(self, headers: list[Header], size: int) -> WholeAnswer:
+    def _not_satisfiable(self, headers: list[Header], size: int) -> OriginResponse:
         unsealed = [header for header in headers if header[0] != self.seal_header]
         unsealed.append(("content-range", f"bytes */{size}"))
-        return WholeAnswer(RANGE_NOT_SATISFIABLE, unsealed, b"")
+        return OriginResponse(RANGE_NOT_SATISFIABLE, unsealed, b"")
--- a/src/willowpost/proxy/cache/storing.py
+++ b/src/willowpost/proxy/cache/storage_policy.py
@@ -27,27 +27,27 @@
         return None
 
 
-def whole(value: str | None) -> int | None:
+def parse_whole_number(value: str | None) -> int | None:
     """Returns a header's value as a whole number, or None if it is absent or malformed."""
     return int(value) if value is not None and value.strip().isdigit() else None
 
 
 @dataclass(frozen=True, slots=True)
-class Storing:
+class StorageDecision:
     """How a response may be stored.
 
     Attributes:
         lifetime: How long it is fresh, in µs; 0 means that each use needs a revalidation.
         vary: Lower-case names of the request headers that select the variant, sorted.
-        public: Whether it may answer requests with an Authorization header.
+        is_public: Whether it may answer requests with an Authorization header.
     """
 
     lifetime: int
     vary: tuple[str, ...]
-    public: bool = False
+    is_public: bool = False
 
 
-class StoringRules:
+class StoragePolicy:
     """Decides whether a shared cache may store a response.
 
     Personal responses are never stored: `private`, `no-store`, `Set-Cookie` and `Vary: *`, and
@@ -55,13 +55,13 @@
     the cookie in Vary).
     """
 
-    def judge(
+    def decide(
         self,
         request: Mapping[str, str],
         status: int,
         response: Mapping[str, str],
         keep_seconds: float,
-    ) -> Storing | None:
+    ) -> StorageDecision | None:
         """Returns how to store the response, or None if it must not be stored.
 
         Args:
@@ -88,7 +88,7 @@
         has_validator = "etag" in response or "last-modified" in response
         if lifetime <= 0 and not has_validator:
             return None
-        return Storing(lifetime, vary, bool(AUTHORIZED_DIRECTIVES & stated.keys()))
+        return StorageDecision(lifetime, vary, bool(AUTHORIZED_DIRECTIVES & stated.keys()))
 
     def _is_personal(
         self, request: Mapping[str, str], stated: Mapping[str, str], vary: tuple[str, ...]
@@ -112,7 +112,7 @@
             return 0
         for name in ("s-maxage", "max-age"):
             if name in stated:
-                seconds = whole(stated[name])
+                seconds = parse_whole_number(stated[name])
                 return 0 if seconds is None else min(seconds * SECOND, longest)
         if "expires" in response:
             expires = parse_http_date(response["expires"])
@@ -123,12 +123,12 @@
         return longest if status == 200 else 0
 
 
-def seconds_of(age: int | None) -> str | None:
+def format_age(age: int | None) -> str | None:
     """Returns an age in µs as whole seconds for the Age header; None stays None."""
     return None if age is None else str(age // SECOND)
 
 
-def first_age(response: Mapping[str, str], took: int, hop_age: int | None = None) -> int:
+def corrected_age(response: Mapping[str, str], took: int, hop_age: int | None = None) -> int:
     """Returns the response's age on arrival, in µs: the stated age plus the exchange's duration.
 
     This is `corrected_age_value` of RFC 9111, 4.2.3.
@@ -138,5 +138,7 @@
         took: Duration of the exchange, in µs.
         hop_age: The age that a shield stated, in µs; None to go by the Age header.
     """
-    stated_age = (whole(response.get("age")) or 0) * SECOND if hop_age is None else hop_age
+    stated_age = (
+        (parse_whole_number(response.get("age")) or 0) * SECOND if hop_age is None else hop_age
+    )
     return stated_age + took
--- a/src/willowpost/proxy/cache/store.py
+++ b/src/willowpost/proxy/cache/store.py
@@ -5,12 +5,12 @@
 from dataclasses import replace
 from itertools import takewhile
 
-from willowpost.proxy.cache.entry import CacheKey, Entry, Header
+from willowpost.proxy.cache.entry import CacheEntry, CacheKey, Header
 from willowpost.proxy.cache.purges import PurgeMatcher, TagIndex, matches
 from willowpost.state.entries import Purge
 from willowpost.state.tables import Tables
 
-BYTES_MOST = 128 * 1024 * 1024
+MAX_CACHE_BYTES = 128 * 1024 * 1024
 MAX_VARIANTS = 16  # of one key
 MAX_ENTRY_FRACTION = 8  # an entry takes at most one in so many parts of the cache
 
@@ -27,19 +27,19 @@
         entries: The stored variants by key, least recently used key first.
         tag_index: The keys by tag.
         purges: The purges that are known one by one, in the order of their slots.
-        floor: Purges before this slot are no longer known one by one.
+        purge_floor: Purges before this slot are no longer known one by one.
     """
 
-    def __init__(self, max_bytes: int = BYTES_MOST) -> None:
+    def __init__(self, max_bytes: int = MAX_CACHE_BYTES) -> None:
         self.max_bytes = max_bytes
         self.size_bytes = 0
         self.slot = 0
-        self.entries: OrderedDict[CacheKey, tuple[Entry, ...]] = OrderedDict()
+        self.entries: OrderedDict[CacheKey, tuple[CacheEntry, ...]] = OrderedDict()
         self.tag_index = TagIndex()
         self.purges: tuple[Purge, ...] = ()
-        self.floor = 0
+        self.purge_floor = 0
 
-    def find(self, host: str, target: str, request_headers: Mapping[str, str]) -> Entry | None:
+    def find(self, host: str, target: str, request_headers: Mapping[str, str]) -> CacheEntry | None:
         """Returns the stored variant that matches a request, fresh or stale, or None.
 
         Args:
@@ -53,14 +53,14 @@
         self.entries.move_to_end((host, target))
         return next((entry for entry in variants if _may_answer(entry, request_headers)), None)
 
-    def keep(self, entry: Entry) -> bool:
+    def store(self, entry: CacheEntry) -> bool:
         """Stores an entry in place of the same variant, and evicts others to make room.
 
         Returns:
             False, with nothing stored, if a purge has removed it since its fetch began or if it is
             larger than an eighth of the cache.
         """
-        is_purged = self.purged_since(entry.slot, entry.host, entry.target, entry.tags)
+        is_purged = self.is_purged_since(entry.slot, entry.host, entry.target, entry.tags)
         if is_purged or entry.size_bytes > self.max_bytes // MAX_ENTRY_FRACTION:
             return False
         variants = self.entries.get(entry.key, ())
@@ -72,30 +72,37 @@
 
     def refresh(
         self,
-        entry: Entry,
+        entry: CacheEntry,
         headers: tuple[Header, ...],
-        born_at: int,
+        generated_at: int,
         lifetime: int,
         slot: int,
         tags: tuple[str, ...],
-    ) -> Entry:
+    ) -> CacheEntry:
         """Stores an entry as a revalidation confirmed it (RFC 9111, 4.3.4), and returns it."""
         refreshed = replace(
-            entry, headers=headers, born_at=born_at, lifetime=lifetime, slot=slot, tags=tags
+            entry,
+            headers=headers,
+            generated_at=generated_at,
+            lifetime=lifetime,
+            slot=slot,
+            tags=tags,
         )
-        self.keep(refreshed)
+        self.store(refreshed)
         return refreshed
 
-    def drop(self, entry: Entry) -> None:
+    def remove(self, entry: CacheEntry) -> None:
         """Removes all variants of the entry's key."""
         self._remove(entry.key)
 
-    def purged_since(self, slot: int, host: str, target: str, tags: tuple[str, ...] = ()) -> bool:
+    def is_purged_since(
+        self, slot: int, host: str, target: str, tags: tuple[str, ...] = ()
+    ) -> bool:
         """Whether a purge in `slot` or later removes this host and target.
 
         Also true if `slot` is so old that the purges after it are no longer all known.
         """
-        if slot < self.floor:
+        if slot < self.purge_floor:
             return True
         later = takewhile(lambda purge: purge.slot >= slot, reversed(self.purges))
         return any(matches(purge, host, target, tags) for purge in later)
@@ -106,7 +113,7 @@
         If some of them are no longer listed, the whole cache is cleared.
         """
         known_slot, self.slot = self.slot, tables.slot
-        self.purges, self.floor = tables.purges, tables.purge_floor
+        self.purges, self.purge_floor = tables.purges, tables.purge_floor
         if known_slot < tables.purge_floor:
             self._clear()
             return
@@ -126,7 +133,7 @@
         self.tag_index.clear()
         self.size_bytes = 0
 
-    def _replace(self, key: CacheKey, variants: tuple[Entry, ...]) -> None:
+    def _replace(self, key: CacheKey, variants: tuple[CacheEntry, ...]) -> None:
         """Stores the variants of a key as the most recently used."""
         before = self.entries.get(key, ())
         self.entries[key] = variants
@@ -140,12 +147,12 @@
         self.tag_index.update(key, variants, ())
 
 
-def _total_bytes(entries: tuple[Entry, ...]) -> int:
+def _total_bytes(entries: tuple[CacheEntry, ...]) -> int:
     return sum(entry.size_bytes for entry in entries)
 
 
-def _may_answer(entry: Entry, request_headers: Mapping[str, str]) -> bool:
+def _may_answer(entry: CacheEntry, request_headers: Mapping[str, str]) -> bool:
     """Whether an entry matches a request's headers (RFC 9111, 3.5 and 4.1)."""
-    if "authorization" in request_headers and not entry.public:
+    if "authorization" in request_headers and not entry.is_public:
         return False
     return all(request_headers.get(name, "") == value for name, value in entry.variant)
--- a/src/willowpost/proxy/caller/body_reader.py
+++ b/src/willowpost/proxy/client/body_reader.py
@@ -2,10 +2,11 @@
 
 from typing import Any
 
-from willowpost.proxy.caller.connection_reader import ConnectionReader
-from willowpost.proxy.caller.request_head import ClientRequestHead
-from willowpost.proxy.caller.response_queue import INTERIM_RESPONSE
-from willowpost.shell.web import BodyTooLarge, Input
+from willowpost.proxy.client.connection_reader import ConnectionReader
+from willowpost.proxy.client.request_head import ClientRequestHead
+from willowpost.proxy.client.response_queue import INTERIM_RESPONSE
+from willowpost.shell.web import BodyTooLargeError
+from willowpost.shell.web_server import Input
 
 BODY_TIMEOUT_SECONDS = 30.0  # of each read
 
@@ -22,13 +23,13 @@
         max_bytes: The largest body.
 
     Raises:
-        BodyTooLarge: The body is larger.
+        BodyTooLargeError: The body is larger.
         EOFError: The body ended short.
         OSError: The connection broke, or the client was silent for too long.
         ValueError: The chunks are malformed.
     """
     if head.length is not None and head.length > max_bytes:
-        raise BodyTooLarge
+        raise BodyTooLargeError
     connection.settimeout(BODY_TIMEOUT_SECONDS)
     if head.headers.get("expect", "").lower() == "100-continue":
         connection.sendall(INTERIM_RESPONSE)
@@ -39,5 +40,5 @@
         return body
     chunked_body: bytes = Input(reader, None, chunked_input=True).read(max_bytes + 1)
     if len(chunked_body) > max_bytes:
-        raise BodyTooLarge
+        raise BodyTooLargeError
     return chunked_body
--- a/src/willowpost/proxy/caller/connection_reader.py
+++ b/src/willowpost/proxy/client/connection_reader.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from willowpost.common.errors import WillowpostError
-from willowpost.proxy.origin.pool import quiet
+from willowpost.proxy.origin.connection_pool import is_quiet
 
 RECEIVE_BYTES = 16 * 1024
 MAX_LINE_BYTES = 64 * 1024
@@ -150,7 +150,7 @@
                 return
             except TimeoutError:
                 continue
-        if quiet(self.connection):
+        if is_quiet(self.connection):
             raise IdleTimeoutError
         self.connection.settimeout(ARRIVED_TIMEOUT_SECONDS)
         self._receive_or_end()
--- a/src/willowpost/proxy/caller/connection_watcher.py
+++ b/src/willowpost/proxy/client/connection_watcher.py
@@ -4,8 +4,8 @@
 
 import gevent
 
-from willowpost.proxy.caller.connection_reader import ConnectionReader, has_ended
-from willowpost.proxy.caller.response_queue import ResponseQueue
+from willowpost.proxy.client.connection_reader import ConnectionReader, has_ended
+from willowpost.proxy.client.response_queue import ResponseQueue
 
 MAX_READ_AHEAD_BYTES = 64 * 1024  # read of a connection whose requests wait
 LIBEV_READ = 1  # libev's EV_READ
--- a/src/willowpost/proxy/caller/lifetime.py
+++ b/src/willowpost/proxy/client/lifetime.py
@@ -8,13 +8,13 @@
 
 from gevent import GreenletExit
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 
 # the client's task reads a close within this, unless the process stalled
-CHECK_INTERVAL_US = 20 * MILLI
+CHECK_INTERVAL_US = 20 * MILLISECOND
 
 
-class CallerGone(GreenletExit):  # type: ignore[misc]  # gevent has no types here
+class ClientDisconnected(GreenletExit):  # type: ignore[misc]  # gevent has no types here
     """Thrown into a request's task, at whatever it waits for, when its lifetime has ended.
 
     It is no `Exception`, so handlers of failures let it pass.
@@ -89,21 +89,21 @@
         """Makes sure that somebody still waits; to be called right before a byte is sent.
 
         Raises:
-            CallerGone: Nobody does.
+            ClientDisconnected: Nobody does.
         """
         self._check_connection()
         if self.has_ended:
-            raise CallerGone
+            raise ClientDisconnected
 
     @contextmanager
     def running(self, task: Any) -> Iterator[None]:
         """Runs the block as the work of this request, in `task`, which the end interrupts.
 
         Raises:
-            CallerGone: The lifetime ended before or within the block.
+            ClientDisconnected: The lifetime ended before or within the block.
         """
         if self.has_ended:
-            raise CallerGone
+            raise ClientDisconnected
         self._task = task
         try:
             yield
@@ -144,8 +144,8 @@
         may_interrupt = not self._is_protected and not self._is_interrupted
         if self.has_ended and self._task is not None and may_interrupt:
             self._is_interrupted = True
-            self._task.kill(CallerGone, block=False)
+            self._task.kill(ClientDisconnected, block=False)
 
 
 # of a request without a client's connection, as in the simulator
-UNWATCHED = RequestLifetime()
+UNWATCHED_LIFETIME = RequestLifetime()
--- a/src/willowpost/proxy/caller/pacing.py
+++ b/src/willowpost/proxy/client/pacing.py
@@ -46,7 +46,7 @@
         self.free_at = 0.0
 
     @property
-    def piece(self) -> int | None:
+    def chunk_bytes(self) -> int | None:
         """The size in bytes of the chunks of large responses; None: they are written at once."""
         if self.bytes_per_second is None:
             return None
--- a/src/willowpost/proxy/caller/request_head.py
+++ b/src/willowpost/proxy/client/request_head.py
@@ -3,7 +3,7 @@
 import re
 from collections.abc import Sequence
 
-from willowpost.proxy.caller.connection_reader import MalformedRequestError
+from willowpost.proxy.client.connection_reader import MalformedRequestError
 
 HTTP_1_0 = "HTTP/1.0"
 VERSIONS = ("HTTP/1.1", HTTP_1_0)
--- a/src/willowpost/proxy/caller/response_builder.py
+++ b/src/willowpost/proxy/client/response_builder.py
@@ -4,15 +4,15 @@
 from collections import Counter
 from collections.abc import Generator
 
-from willowpost.common.clock import MILLI
-from willowpost.proxy.cache.storing import seconds_of
-from willowpost.proxy.caller.response import ClientResponse, Header
-from willowpost.proxy.origin.answer import WholeAnswer
-from willowpost.proxy.routing.attempt import Rejected
+from willowpost.common.clock import MILLISECOND
+from willowpost.proxy.cache.storage_policy import format_age
+from willowpost.proxy.client.response import ClientResponse, Header
+from willowpost.proxy.origin.response import OriginResponse
+from willowpost.proxy.routing.attempt import RequestRejectedError
+from willowpost.proxy.routing.header_names import HeaderNames
 from willowpost.proxy.routing.headers import HOP_AGE, HOP_REJECT, HOP_SLOT
 from willowpost.proxy.routing.outcome import Outcome
 from willowpost.proxy.routing.request import Request
-from willowpost.proxy.routing.words import Words
 
 NOT_MODIFIED = 304
 UNFRAMED_STATUSES = (204, NOT_MODIFIED)
@@ -27,17 +27,17 @@
         stats: Counters by name.
     """
 
-    def __init__(self, words: Words, stats: Counter[str]) -> None:
+    def __init__(self, words: HeaderNames, stats: Counter[str]) -> None:
         self._words, self._stats = words, stats
 
     def build(self, request: Request, outcome: Outcome) -> ClientResponse:
         """Returns the response of an outcome; a 304 if the client has that version.
 
         Raises:
-            Rejected: A streamed body broke off before its first block.
+            RequestRejectedError: A streamed body broke off before its first block.
         """
         answer = outcome.answer
-        blocks = None if answer.rest is None else _with_first_block(answer.rest)
+        blocks = None if answer.stream is None else _with_first_block(answer.stream)
         status, body = answer.status, answer.body
         if blocks is None and _is_known_version(request, answer):
             status, body = NOT_MODIFIED, b""
@@ -52,7 +52,7 @@
         return ClientResponse(status, headers, body, blocks)
 
     def build_rejection(
-        self, rejection: Rejected, states_outcome: bool, request: Request | None = None
+        self, rejection: RequestRejectedError, states_outcome: bool, request: Request | None = None
     ) -> ClientResponse:
         """Returns the final response to a request that is given up.
 
@@ -62,25 +62,25 @@
             request: The request; None if it could not be parsed.
         """
         value: dict[str, object] = {"reject": rejection.reason}
-        if rejection.after:
-            value["retry_after"] = rejection.after
+        if rejection.retry_after_seconds:
+            value["retry_after"] = rejection.retry_after_seconds
         body = json.dumps(value).encode() + b"\n"
         headers = [("content-type", "application/json"), ("cache-control", "no-store")]
-        if request is not None and request.name is not None:
-            headers.append((self._words.request, request.name))
-        if rejection.after:
-            headers.append(("retry-after", f"{rejection.after:g}"))
+        if request is not None and request.request_id is not None:
+            headers.append((self._words.request_id, request.request_id))
+        if rejection.retry_after_seconds:
+            headers.append(("retry-after", f"{rejection.retry_after_seconds:g}"))
         if states_outcome:
             headers.append(("wp-outcome", rejection.outcome))
-        if request is not None and request.hop:
+        if request is not None and request.is_from_edge:
             headers.append((HOP_REJECT, rejection.outcome))
-        self._stats[f"reject.{rejection.code}"] += 1
+        self._stats[f"reject.{rejection.status}"] += 1
         self._stats[f"why.{rejection.reason[:MAX_REASON_CHARACTERS]}"] += 1
-        return ClientResponse(rejection.code, headers, body)
+        return ClientResponse(rejection.status, headers, body)
 
-    def _passed_headers(self, answer: WholeAnswer, status: int) -> list[Header]:
+    def _passed_headers(self, answer: OriginResponse, status: int) -> list[Header]:
         """Returns the origin's headers that reach the client."""
-        replaced = ("content-length", "age", self._words.request)
+        replaced = ("content-length", "age", self._words.request_id)
         # a seal is of the status that the origin gave
         is_sealed_status = status == answer.status
         return [
@@ -92,23 +92,23 @@
     def _own_headers(self, request: Request, outcome: Outcome) -> list[Header]:
         """Returns the headers that this proxy adds."""
         headers: list[Header] = []
-        age_seconds = seconds_of(outcome.age)
-        if request.name is not None:
-            headers.append((self._words.request, request.name))
+        age_seconds = format_age(outcome.age)
+        if request.request_id is not None:
+            headers.append((self._words.request_id, request.request_id))
         if age_seconds is not None:
             headers.append(("age", age_seconds))
-        if request.hop:
+        if request.is_from_edge:
             headers.append((HOP_SLOT, str(outcome.slot)))
             if outcome.age is not None:
-                headers.append((HOP_AGE, str(outcome.age // MILLI)))
+                headers.append((HOP_AGE, str(outcome.age // MILLISECOND)))
         headers.append(("wp-cache", outcome.source))
         return headers
 
 
-def _is_known_version(request: Request, answer: WholeAnswer) -> bool:
+def _is_known_version(request: Request, answer: OriginResponse) -> bool:
     """Whether If-None-Match names the response's version (RFC 9110, 13.1.2)."""
     condition, etag = request.headers.get("if-none-match"), answer.header("etag")
-    if not condition or not etag or answer.status != 200 or not request.safe:
+    if not condition or not etag or answer.status != 200 or not request.is_safe:
         return False
     known = [tag.strip().removeprefix("W/") for tag in condition.split(",")]
     return condition.strip() == "*" or etag.removeprefix("W/") in known
@@ -120,13 +120,14 @@
     """Reads the first block of a streamed body before the head is sent.
 
     Raises:
-        Rejected: The body broke off by then; the client gets a 502 instead of a truncated response.
+        RequestRejectedError: The body broke off by then; the client gets a 502 instead of a
+            truncated response.
     """
     try:
         first = next(blocks, b"")
     # the exchange's errors are of many kinds; each means that there is no complete response
     except Exception as problem:
-        raise Rejected(502, f"no whole answer: {problem}", 1, "unknown") from problem
+        raise RequestRejectedError(502, f"no whole answer: {problem}", 1, "unknown") from problem
     return _chained(first, blocks)
 
 
--- a/src/willowpost/proxy/caller/response_queue.py
+++ b/src/willowpost/proxy/client/response_queue.py
@@ -9,9 +9,9 @@
 import gevent
 import gevent.event
 
-from willowpost.proxy.caller.lifetime import CallerGone, RequestLifetime
-from willowpost.proxy.caller.pacing import LinkPacer
-from willowpost.proxy.caller.response import ClientResponse
+from willowpost.proxy.client.lifetime import ClientDisconnected, RequestLifetime
+from willowpost.proxy.client.pacing import LinkPacer
+from willowpost.proxy.client.response import ClientResponse
 from willowpost.proxy.origin.framing import BODYLESS_STATUSES
 
 WRITE_TIMEOUT_SECONDS = 75.0
@@ -103,7 +103,7 @@
         try:
             with pending.lifetime.running(gevent.getcurrent()):
                 response = respond(pending.lifetime)
-        except CallerGone:
+        except ClientDisconnected:
             self.is_broken = True
         self.resolve(pending, response)
 
@@ -122,7 +122,7 @@
         for lifetime in lifetimes:
             lifetime.disconnect()
         if self._writer not in (None, gevent.getcurrent()):
-            self._writer.kill(CallerGone, block=False)
+            self._writer.kill(ClientDisconnected, block=False)
         self.changed.set()
 
     def probe(self) -> None:
@@ -162,7 +162,7 @@
         try:
             if not self.is_broken:
                 self._write(pending, response)
-        except (OSError, CallerGone):
+        except (OSError, ClientDisconnected):
             self._break()
         # The body's blocks come from an exchange, whose errors are of many kinds; whichever it is,
         # the response cannot be completed any more, and the connection is closed.
@@ -205,13 +205,13 @@
             self._connection.sendall(b"0\r\n\r\n")
 
     def _needs_pacing(self, body: bytes) -> bool:
-        chunk_bytes = self._observer.pacer.piece
+        chunk_bytes = self._observer.pacer.chunk_bytes
         return chunk_bytes is not None and len(body) > chunk_bytes
 
     def _write_paced(self, data: bytes) -> None:
         """Writes bytes at the pace of the machine's link."""
         pacer = self._observer.pacer
-        chunk_bytes = pacer.piece or len(data) or 1
+        chunk_bytes = pacer.chunk_bytes or len(data) or 1
         view = memoryview(data)
         for start in range(0, len(data), chunk_bytes):
             chunk = view[start : start + chunk_bytes]
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -6,28 +6,31 @@
 
 import gevent
 
-from willowpost.common.clock import MILLI, Clock
-from willowpost.proxy.admission.buckets import Allowance, Ramp
-from willowpost.proxy.admission.budget import BudgetSettings, RetryBudget
-from willowpost.proxy.caller.pacing import LinkPacer
-from willowpost.proxy.figures import ProxyFigures
-from willowpost.proxy.front import Front, FrontOptions
+from willowpost.common.clock import MILLISECOND, Clock
+from willowpost.proxy.admission.quota_admission import QuotaAdmission
+from willowpost.proxy.admission.retry_budget import RetryBudget, RetryBudgetSettings
+from willowpost.proxy.admission.slow_start import SlowStartAdmission
+from willowpost.proxy.client.pacing import LinkPacer
+from willowpost.proxy.frontend import Frontend, FrontendOptions
 from willowpost.proxy.handler import ProxyHandler
+from willowpost.proxy.metrics import ProxyMetrics
 from willowpost.proxy.node import ProxyNode
-from willowpost.proxy.origin.io import SocketIo
-from willowpost.proxy.origin.pick import OriginPicker
-from willowpost.proxy.origin.pool import ConnectionPool
+from willowpost.proxy.origin.connection_pool import ConnectionPool
+from willowpost.proxy.origin.connections import OriginConnections
+from willowpost.proxy.origin.selection import OriginSelector
 from willowpost.proxy.outgoing import OutgoingRequests
-from willowpost.proxy.routing.carrier import Carrier
+from willowpost.proxy.routing.attempt_resources import AttemptResources
+from willowpost.proxy.routing.attempts import Attempts
+from willowpost.proxy.routing.header_names import HeaderNames
+from willowpost.proxy.routing.plan_executor import PlanExecutor
 from willowpost.proxy.routing.planner import RequestPlanner
 from willowpost.proxy.routing.snapshot import RoutingSnapshot
-from willowpost.proxy.routing.tries import Tries
-from willowpost.proxy.routing.words import Words
 from willowpost.shell.metrics import MetricsPage
 from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.runner import Runner
 from willowpost.shell.structured_log import StructuredLogger
-from willowpost.shell.web import WebServer, status_line
+from willowpost.shell.web import status_line
+from willowpost.shell.web_server import WebServer
 from willowpost.state.entries import DaemonDescriptor
 
 MAINTENANCE_INTERVAL_SECONDS = 0.05
@@ -45,7 +48,7 @@
 
     in_flight = 0
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: Frontend) -> None:
         self._front = front
 
     def __call__(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
@@ -66,7 +69,7 @@
     """
 
     def __init__(
-        self, settings: ProcessSettings, logger: StructuredLogger, words: Words | None = None
+        self, settings: ProcessSettings, logger: StructuredLogger, words: HeaderNames | None = None
     ) -> None:
         self.logger = logger
         self.runner = Runner(settings.address, logger)
@@ -76,11 +79,11 @@
         self.stats: Counter[str] = Counter()
         self.outgoing = OutgoingRequests(self.node_state, self.clock.now, logger.log)
         self.pool = ConnectionPool(self.clock)
-        self.pick = OriginPicker(
+        self.origin_selector = OriginSelector(
             settings.zone, reports=lambda: self.node_state.reports, regions=settings.regions
         )
-        self.front = self._build_front(settings, words or Words())
-        self.node.shutdown.spans = settings.spans()
+        self.front = self._build_front(settings, words or HeaderNames())
+        self.node.shutdown.timeouts = settings.shutdown_timeouts()
         self.node.shutdown.in_flight = lambda: self.front.in_flight
         self.webs = self._build_servers(settings)
 
@@ -96,7 +99,7 @@
 
         The port is closed and connections take no new requests as soon as the shutdown says so.
         """
-        self.runner.leave(self._close)
+        self.runner.shut_down(self._close)
 
     def _build_node(self, settings: ProcessSettings) -> ProxyNode:
         descriptor = DaemonDescriptor(
@@ -112,38 +115,40 @@
         node = ProxyNode(
             descriptor, settings.seeds, self.clock.wall, settings.cache_bytes, settings.regions
         )
-        node.node_state.max_stale_serving = settings.serve_on_ms * MILLI
+        node.node_state.max_stale_serving = settings.serve_on_ms * MILLISECOND
         return node
 
-    def _build_tries(self, settings: ProcessSettings, words: Words) -> Tries:
+    def _build_attempts(self, settings: ProcessSettings, words: HeaderNames) -> Attempts:
         budget = RetryBudget(
-            self.node_state.proxies,
+            self.node_state.proxy_count,
             self.clock.now(),
-            BudgetSettings(
-                settings.extra_part, settings.extra_slack, settings.extra_window_ms * MILLI
+            RetryBudgetSettings(
+                settings.extra_part, settings.extra_slack, settings.extra_window_ms * MILLISECOND
             ),
         )
-        return Tries(
-            self.node_state,
-            self.clock,
-            Allowance(self.node_state),
-            Ramp(self.node_state),
-            budget,
-            self.pick,
-            SocketIo(self.pool, self.runner.want),
-            self.stats,
-            words,
-            settings.regions,
-            self.outgoing,
+        return Attempts(
+            AttemptResources(
+                node_state=self.node_state,
+                clock=self.clock,
+                quota_admission=QuotaAdmission(self.node_state),
+                slow_start=SlowStartAdmission(self.node_state),
+                retry_budget=budget,
+                origin_selector=self.origin_selector,
+                io=OriginConnections(self.pool, self.runner.request),
+                stats=self.stats,
+                header_names=words,
+                regions=settings.regions or {},
+                outgoing=self.outgoing,
+            )
         )
 
-    def _build_front(self, settings: ProcessSettings, words: Words) -> Front:
-        tries = self._build_tries(settings, words)
-        carrier = Carrier(self.node_state, self.node.cache, self.clock, tries, self.stats)
+    def _build_front(self, settings: ProcessSettings, words: HeaderNames) -> Frontend:
+        attempts = self._build_attempts(settings, words)
+        executor = PlanExecutor(self.node_state, self.node.cache, self.clock, attempts, self.stats)
         planner = RequestPlanner(self.node_state, self.node.cache, self.clock, settings.regions)
-        options = FrontOptions(words, settings.health is None, LinkPacer(settings.link_mbps))
-        return Front(
-            self.node_state, self.clock, planner, carrier, self.stats, self.logger, options
+        options = FrontendOptions(words, settings.health is None, LinkPacer(settings.link_mbps))
+        return Frontend(
+            self.node_state, self.clock, planner, executor, self.stats, self.logger, options
         )
 
     def _build_servers(self, settings: ProcessSettings) -> list[WebServer]:
@@ -152,7 +157,7 @@
         if settings.health is not None:
             servers.append(WebServer(settings.health, HealthPage(self.front)))
         if settings.metrics is not None:
-            metrics = ProxyFigures(self.front, self.node_state, self.outgoing)
+            metrics = ProxyMetrics(self.front, self.node_state, self.outgoing)
             servers.append(WebServer(settings.metrics, MetricsPage(metrics)))
         return servers
 
@@ -174,8 +179,8 @@
     def _forget_removed(self, snapshot: RoutingSnapshot) -> None:
         """Forgets connections and measurements of all who are not in force."""
         shields = {f"shield {name} {address}" for name, address in snapshot.shields.items()}
-        self.pool.keep_only(snapshot.origins | shields)
-        self.pick.keep_only(snapshot.origins | snapshot.shields.keys())
+        self.pool.retain_only(snapshot.origins | shields)
+        self.origin_selector.retain_only(snapshot.origins | snapshot.shields.keys())
 
     def _log_rejections(self, logged: Counter[str]) -> Counter[str]:
         """Logs the rejections since `logged`, by reason, and returns the new counts."""
--- a/src/willowpost/proxy/front.py
+++ b/src/willowpost/proxy/frontend.py
@@ -7,19 +7,19 @@
 
 from willowpost.common.clock import Clock
 from willowpost.configuration.routes import Route
-from willowpost.proxy.caller.lifetime import UNWATCHED, RequestLifetime
-from willowpost.proxy.caller.pacing import LinkPacer
-from willowpost.proxy.caller.request_head import ClientRequestHead
-from willowpost.proxy.caller.response import ClientResponse
-from willowpost.proxy.caller.response_builder import ResponseBuilder
-from willowpost.proxy.caller.stall_detector import StallDetector
+from willowpost.proxy.client.lifetime import UNWATCHED_LIFETIME, RequestLifetime
+from willowpost.proxy.client.pacing import LinkPacer
+from willowpost.proxy.client.request_head import ClientRequestHead
+from willowpost.proxy.client.response import ClientResponse
+from willowpost.proxy.client.response_builder import ResponseBuilder
+from willowpost.proxy.client.stall_detector import StallDetector
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.request_parser import RequestParser, host_of, path_of
-from willowpost.proxy.routing.attempt import Rejected
-from willowpost.proxy.routing.carrier import Carrier
-from willowpost.proxy.routing.planner import DENIED_AGAIN_AFTER, RequestPlanner
-from willowpost.proxy.routing.request import ONCE, SAFE, RejectPlan, Request, kind_of
-from willowpost.proxy.routing.words import Words
+from willowpost.proxy.routing.attempt import RequestRejectedError
+from willowpost.proxy.routing.header_names import HeaderNames
+from willowpost.proxy.routing.plan_executor import PlanExecutor
+from willowpost.proxy.routing.planner import STALE_TABLES_RETRY_SECONDS, RequestPlanner
+from willowpost.proxy.routing.request import ONCE, SAFE_METHODS, RejectPlan, Request, kind_of
 from willowpost.proxy.status_page import HEALTH, PATHS, ProxyStatusPage
 from willowpost.shell.structured_log import StructuredLogger
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontOptions:
+class FrontendOptions:
     """How a proxy speaks to its clients.
 
     Attributes:
@@ -45,19 +45,19 @@
         pacer: Paces large responses by the machine's link.
     """
 
-    words: Words = field(default_factory=Words)
+    words: HeaderNames = field(default_factory=HeaderNames)
     serves_status_paths: bool = True
     pacer: LinkPacer = field(default_factory=LinkPacer)
 
 
-class Front:
+class Frontend:
     """Answers clients' requests.
 
     Args:
         node_state: The proxy's shared state.
         clock: This process's clock.
         planner: Chooses what to do with a request.
-        carrier: Carries out the plan.
+        executor: Carries out the plan.
         stats: Counters by name.
         logger: Where log lines go.
         options: How the proxy speaks to its clients; None for the defaults.
@@ -74,14 +74,14 @@
         node_state: ProxyState,
         clock: Clock,
         planner: RequestPlanner,
-        carrier: Carrier,
+        executor: PlanExecutor,
         stats: Counter[str],
         logger: StructuredLogger,
-        options: FrontOptions | None = None,
+        options: FrontendOptions | None = None,
     ) -> None:
-        options = options or FrontOptions()
+        options = options or FrontendOptions()
         self.node_state, self.clock = node_state, clock
-        self.planner, self.carrier = planner, carrier
+        self.planner, self.executor = planner, executor
         self.stats, self.logger = stats, logger
         self.now = clock.now
         self.in_flight = 0
@@ -91,7 +91,9 @@
         self._serves_status_paths = options.serves_status_paths
         self._responses = ResponseBuilder(options.words, stats)
         self._parser = RequestParser(node_state, options.words)
-        self._status_page = ProxyStatusPage(node_state, clock, stats, carrier.tries.outgoing)
+        self._status_page = ProxyStatusPage(
+            node_state, clock, stats, executor.attempts.resources.outgoing
+        )
 
     def register(self, connection: ClientConnection) -> None:
         """Registers a client's connection."""
@@ -136,7 +138,7 @@
         limit = self.limits().get("body_bytes")
         if limit is not None:
             return limit
-        if route is None or head.method in SAFE:
+        if route is None or head.method in SAFE_METHODS:
             return MAX_READ_BODY_BYTES
         return int(route.body_max)
 
@@ -149,7 +151,7 @@
         head: ClientRequestHead,
         body: bytes,
         received_at: int,
-        lifetime: RequestLifetime = UNWATCHED,
+        lifetime: RequestLifetime = UNWATCHED_LIFETIME,
     ) -> ClientResponse:
         """Returns the response to a request; failures become error responses and are not raised.
 
@@ -160,21 +162,21 @@
             lifetime: Whether the client still waits.
 
         Raises:
-            CallerGone: Nobody waits for the response any more.
+            ClientDisconnected: Nobody waits for the response any more.
         """
         if self._serves_status_paths and path_of(head) in PATHS:
             return self.status_response(path_of(head))
-        states_outcome = head.method not in SAFE
+        states_outcome = head.method not in SAFE_METHODS
         request = None
         try:
             request = self.parse(head, received_at, lifetime)
             return self._carry_out(request, head, body)
-        except Rejected as rejection:
+        except RequestRejectedError as rejection:
             return self._responses.build_rejection(rejection, states_outcome, request)
         # The last line of a request's task: whatever fails, the client gets a final response.
         except Exception as problem:
             self.logger.log("proxy", "request failed", level="error", problem=repr(problem))
-            failure = Rejected(500, "broke down", 1, "unknown")
+            failure = RequestRejectedError(500, "broke down", 1, "unknown")
             return self._responses.build_rejection(failure, states_outcome, request)
 
     def parse(
@@ -183,11 +185,11 @@
         """Returns the request of a head.
 
         Raises:
-            Rejected: Its host or target is malformed.
+            RequestRejectedError: Its host or target is malformed.
         """
         request = self._parser.parse(head, received_at, lifetime)
         if request is None:
-            raise Rejected(400, "malformed request", 0)
+            raise RequestRejectedError(400, "malformed request", 0)
         return request
 
     def status_response(self, path: str = HEALTH) -> ClientResponse:
@@ -199,13 +201,15 @@
         plan = self.planner.plan(request)
         if not isinstance(plan, RejectPlan) and len(body) > self.body_limit_bytes(head):
             raise self._limit_rejection(413, "body over the limit")
-        return self._responses.build(request, self.carrier.carry(request, plan, body))
+        return self._responses.build(request, self.executor.execute(request, plan, body))
 
     def _route(self, head: ClientRequestHead) -> Route | None:
         return self.node_state.snapshot.routes.find(host_of(head), path_of(head))
 
-    def _limit_rejection(self, status: int, reason: str) -> Rejected:
+    def _limit_rejection(self, status: int, reason: str) -> RequestRejectedError:
         """Returns the rejection; a configured limit rejects only if it is known to be current."""
-        if status in LIMIT_STATUSES and not self.node_state.denies(self.clock.now()):
-            return Rejected(503, "the limits known here may be old", DENIED_AGAIN_AFTER)
-        return Rejected(status, reason, 0)
+        if status in LIMIT_STATUSES and not self.node_state.may_deny(self.clock.now()):
+            return RequestRejectedError(
+                503, "the limits known here may be old", STALE_TABLES_RETRY_SECONDS
+            )
+        return RequestRejectedError(status, reason, 0)
--- a/src/willowpost/proxy/handler.py
+++ b/src/willowpost/proxy/handler.py
@@ -7,19 +7,20 @@
 import gevent
 from gevent import socket
 
-from willowpost.proxy.caller.body_reader import read_body
-from willowpost.proxy.caller.connection_reader import (
+from willowpost.proxy.client.body_reader import read_body
+from willowpost.proxy.client.connection_reader import (
     RECEIVE_BYTES,
     ConnectionEndedError,
     ConnectionReader,
     IdleTimeoutError,
     MalformedRequestError,
 )
-from willowpost.proxy.caller.connection_watcher import ConnectionWatcher
-from willowpost.proxy.caller.lifetime import RequestLifetime
-from willowpost.proxy.caller.request_head import ClientRequestHead
-from willowpost.proxy.caller.response_queue import PendingResponse, ResponseQueue
-from willowpost.shell.web import BodyTooLarge, WSGIHandler
+from willowpost.proxy.client.connection_watcher import ConnectionWatcher
+from willowpost.proxy.client.lifetime import RequestLifetime
+from willowpost.proxy.client.request_head import ClientRequestHead
+from willowpost.proxy.client.response_queue import PendingResponse, ResponseQueue
+from willowpost.shell.web import BodyTooLargeError
+from willowpost.shell.web_server import WSGIHandler
 
 MAX_HEAD_BYTES = 64 * 1024
 MAX_PIPELINED_REQUESTS = 16
@@ -186,7 +187,7 @@
     def _respond_with_body(self, pending: PendingResponse, head: ClientRequestHead) -> None:
         try:
             body = read_body(self.socket, self.reader, head, self.front.body_limit_bytes(head))
-        except BodyTooLarge:
+        except BodyTooLargeError:
             pending.closes_connection = True
             self.responses.resolve(pending, self.front.reject_malformed(413, "body over the limit"))
         except (OSError, ValueError, EOFError):
--- a/src/willowpost/proxy/main.py
+++ b/src/willowpost/proxy/main.py
@@ -1,6 +1,6 @@
 """The command `wpproxy`."""
 
-import willowpost.shell.starting  # noqa: F401  before what takes long to import
+import willowpost.shell.startup_signals  # noqa: F401  before what takes long to import
 from willowpost.proxy.daemon import ProxyDaemon
 from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.program import DaemonCommand, run
@@ -19,7 +19,7 @@
   <info>wpproxy --name edge-1 --zone a --role edge --address 127.0.0.1:7201 \
 --http 127.0.0.1:8080 --seeds 127.0.0.1:7001,127.0.0.1:7002</info>
   <info>curl http://127.0.0.1:8080/.wp/health</info>"""
-    needs = ("http",)
+    required_settings = ("http",)
 
     def build(self, settings: ProcessSettings, logger: StructuredLogger) -> ProxyDaemon:
         """Returns the daemon for these settings."""
--- a/src/willowpost/proxy/node.py
+++ b/src/willowpost/proxy/node.py
@@ -16,8 +16,8 @@
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenClient, AdmissionTokenOwner
 from willowpost.proxy.admission.quota_share_client import QuotaShareClient
 from willowpost.proxy.admission.quota_share_owner import QuotaShareOwner
-from willowpost.proxy.cache.store import BYTES_MOST, CacheStore
-from willowpost.proxy.origin.reports import Reports
+from willowpost.proxy.cache.store import MAX_CACHE_BYTES, CacheStore
+from willowpost.proxy.origin.load_reports import OriginLoadReports
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot_updater import SnapshotUpdater
 from willowpost.state.entries import DaemonDescriptor
@@ -49,7 +49,7 @@
         descriptor: DaemonDescriptor,
         seeds: Iterable[str],
         wall: Callable[[], int],
-        cache_bytes: int = BYTES_MOST,
+        cache_bytes: int = MAX_CACHE_BYTES,
         regions: Mapping[str, str] | None = None,
     ) -> None:
         self.node_state = ProxyState(descriptor)
@@ -69,7 +69,7 @@
             follower,
             QuorumRead(self.node_state, follower),
             SnapshotUpdater(self.node_state, self.cache, regions),
-            Reports(self.node_state),
+            OriginLoadReports(self.node_state),
             self.command_client,
             FailureDetector(descriptor, tables, self.command_client),
             self.fleet_join,
--- a/src/willowpost/proxy/origin/pool.py
+++ b/src/willowpost/proxy/origin/connection_pool.py
@@ -24,7 +24,7 @@
     return min(MAX_IDLE_US, max(0, int(timeout[1]) * SECOND - KEEP_ALIVE_MARGIN_US))
 
 
-def quiet(connection: Any) -> bool:
+def is_quiet(connection: Any) -> bool:
     """Whether nothing has arrived on an idle connection, not even its end.
 
     Unsolicited data belongs to no request, so such a connection is not reused.
@@ -90,7 +90,7 @@
         idle = self.idle.get(owner)
         while idle:
             newest = idle.pop()
-            if self.clock.now() < newest.expires_at and quiet(newest.connection):
+            if self.clock.now() < newest.expires_at and is_quiet(newest.connection):
                 return newest.connection
             newest.connection.close()
         return None
@@ -114,7 +114,7 @@
         while len(idle) > MAX_IDLE_CONNECTIONS:
             idle.popleft().connection.close()
 
-    def keep_only(self, owners: Container[str]) -> None:
+    def retain_only(self, owners: Container[str]) -> None:
         """Closes idle connections that have expired or belong to other owners."""
         now = self.clock.now()
         for owner in list(self.idle):
--- a/src/willowpost/proxy/origin/io.py
+++ b/src/willowpost/proxy/origin/connections.py
@@ -6,14 +6,14 @@
 from gevent.event import AsyncResult
 
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenWanted
-from willowpost.proxy.origin.answer import WholeAnswer
+from willowpost.proxy.origin.connection_pool import ConnectionPool
 from willowpost.proxy.origin.exchange import Exchange
-from willowpost.proxy.origin.pool import ConnectionPool
+from willowpost.proxy.origin.response import OriginResponse
 
 TOKEN_TIMEOUT_SECONDS = 1.0
 
 
-class SocketIo:
+class OriginConnections:
     """Opens and releases connections; a pooled connection ended its last response cleanly.
 
     Args:
@@ -30,7 +30,7 @@
         self.pool = pool
         self.want = want
 
-    def token(self, service: str, origin: str) -> bool:
+    def request_token(self, service: str, origin: str) -> bool:
         """Requests an admission token of the owner of the service's quota.
 
         Returns:
@@ -43,7 +43,7 @@
             )
         )
 
-    def room(self, owner: str, max_connections: int | None) -> bool:
+    def has_capacity(self, owner: str, max_connections: int | None) -> bool:
         """Whether a request to this owner may have a connection."""
         return (
             max_connections is None
@@ -69,7 +69,7 @@
             timeout_seconds: How long connecting may take.
 
         Raises:
-            ExchangeFailure: No connection could be made; nothing was sent.
+            ExchangeError: No connection could be made; nothing was sent.
         """
         connection = self.pool.take(owner) if may_reuse else None
         is_full = max_connections is not None and self.pool.count_open(owner) >= max_connections
@@ -85,16 +85,16 @@
                 raise
         return exchange
 
-    def finish(
-        self, owner: str, exchange: Exchange, may_reuse: bool, response: WholeAnswer | None
+    def release(
+        self, owner: str, exchange: Exchange, may_reuse: bool, response: OriginResponse | None
     ) -> None:
         """Ends the use of a connection: it goes back to the pool or is closed.
 
         A connection whose response is still being streamed stays open; the stream closes it.
         """
         self.pool.record_end(owner)
-        is_reusable = may_reuse and exchange.reusable
-        if response is None or (response.rest is None and not is_reusable):
+        is_reusable = may_reuse and exchange.is_reusable
+        if response is None or (response.stream is None and not is_reusable):
             exchange.close()
-        elif response.rest is None:
+        elif response.stream is None:
             self.pool.put(owner, exchange.connection, exchange.keep_alive)
--- a/src/willowpost/proxy/origin/exchange.py
+++ b/src/willowpost/proxy/origin/exchange.py
@@ -6,26 +6,25 @@
 import contextlib
 import struct
 import time
-from collections.abc import Sequence
 from enum import Enum
 from typing import Any
 
 from gevent import socket
 
-from willowpost.proxy.origin.answer import Echo, Header, WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.errors import ExchangeError
 from willowpost.proxy.origin.instance_check import MAX_CHECK_BODY_BYTES, InstanceCheck
 from willowpost.proxy.origin.request import OriginRequest
+from willowpost.proxy.origin.response import OriginResponse, RequestIdEcho
 from willowpost.proxy.origin.response_reader import ResponseReader
-from willowpost.shell.connecting import connected
-from willowpost.shell.parsing import HTTPParseError
+from willowpost.shell.http_parser import HTTPParseError
+from willowpost.shell.tcp_client import open_connection
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 RECEIVE_BYTES = 64 * 1024
 # The kernel ends a connection whose bytes the other side has not acknowledged for so long: what a
 # network partition delays must not arrive at any later time. The retry budget counts on it
 # (budget.py).
-UNACKNOWLEDGED_MOST_MS = 3000
+TCP_USER_TIMEOUT_MS = 3000
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 
 
@@ -42,7 +41,7 @@
 class Exchange:
     """One request on one connection.
 
-    run() returns a checked response to this very request or raises ExchangeFailure, which says
+    run() returns a checked response to this very request or raises ExchangeError, which says
     whether a byte may have left.
 
     Args:
@@ -52,8 +51,8 @@
     Attributes:
         connection: The open connection, or None.
         phase: How far the exchange has come.
-        reused: Whether the connection was opened for an earlier request.
-        reusable: Whether the connection may serve another request.
+        is_reused: Whether the connection was opened for an earlier request.
+        is_reusable: Whether the connection may serve another request.
         keep_alive: The response's Keep-Alive header, or None.
         send_error: The error that broke the connection while the request was sent, or None.
     """
@@ -62,8 +61,8 @@
         self.address = address
         self.connection = connection
         self.phase = Phase.CONNECT if connection is None else Phase.SEND
-        self.reusable = False
-        self.reused = connection is not None
+        self.is_reusable = False
+        self.is_reused = connection is not None
         self.keep_alive: str | None = None
         self.send_error: OSError | None = None
         self._deadline_seconds = 0.0  # by time.monotonic()
@@ -72,62 +71,57 @@
         """Opens a new connection within `timeout_seconds`, one second at most.
 
         Raises:
-            ExchangeFailure: It could not be opened; nothing was sent.
+            ExchangeError: It could not be opened; nothing was sent.
         """
         try:
-            self.connection = connected(self.address, min(timeout_seconds, CONNECT_TIMEOUT_SECONDS))
+            self.connection = open_connection(
+                self.address, min(timeout_seconds, CONNECT_TIMEOUT_SECONDS)
+            )
             self.connection.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MOST_MS
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
             )
         except (OSError, ValueError, OverflowError) as problem:
-            raise ExchangeFailure(
+            raise ExchangeError(
                 f"connect: {problem}",
-                sent=False,
-                died=isinstance(problem, ConnectionRefusedError),
-                silent=isinstance(problem, TimeoutError),
+                was_sent=False,
+                is_process_gone=isinstance(problem, ConnectionRefusedError),
+                timed_out=isinstance(problem, TimeoutError),
             ) from problem
         self.phase = Phase.SEND
 
-    def instance_check(self, instance_check: InstanceCheck, timeout_seconds: float) -> None:
+    def check_instance(self, instance_check: InstanceCheck, timeout_seconds: float) -> None:
         """Checks which process answers on this connection; no byte of the request is sent.
 
         Raises:
-            ExchangeFailure: It is not the registered process, it is unhealthy, or the check failed.
+            ExchangeError: It is not the registered process, it is unhealthy, or the check failed.
         """
         self.phase = Phase.INSTANCE_CHECK
         headers = [("host", self.address), ("via", "1.1 willowpost")]
         request = OriginRequest("GET", instance_check.path, headers)
         response = self._exchange(request, timeout_seconds, MAX_CHECK_BODY_BYTES)
-        instance_check.judge(response)
-        if response.rest is not None or not self.reusable:
-            raise ExchangeFailure("instance check: does not keep the connection", sent=False)
-        self.phase, self.reusable = Phase.SEND, False
+        instance_check.verify(response)
+        if response.stream is not None or not self.is_reusable:
+            raise ExchangeError("instance check: does not keep the connection", was_sent=False)
+        self.phase, self.is_reusable = Phase.SEND, False
 
     def run(
         self,
-        method: str,
-        target: str,
-        headers: Sequence[Header],
-        body: bytes,
+        request: OriginRequest,
         timeout_seconds: float,
         max_buffered_bytes: int,
-        echo: Echo | None = None,
-    ) -> WholeAnswer:
+        echo: RequestIdEcho | None = None,
+    ) -> OriginResponse:
         """Sends the request once and waits for its response.
 
         Args:
-            method: The request's method.
-            target: Its path and query.
-            headers: Its headers.
-            body: Its body.
+            request: The request.
             timeout_seconds: How long the exchange may take.
-            max_buffered_bytes: A larger body comes as the response's `rest`.
+            max_buffered_bytes: A larger body comes as the response's `stream`.
             echo: The request id that the response must carry, or None.
 
         Raises:
-            ExchangeFailure: There is no complete response to this request.
+            ExchangeError: There is no complete response to this request.
         """
-        request = OriginRequest(method, target, headers, body)
         return self._exchange(request, timeout_seconds, max_buffered_bytes, echo)
 
     def close(self) -> None:
@@ -137,7 +131,7 @@
         leave the kernel to deliver a request, perhaps much later, whose caller has had its final
         reply.
         """
-        self.reusable = False
+        self.is_reusable = False
         if self.connection is not None:
             if self.phase is not Phase.DONE:
                 with contextlib.suppress(OSError):
@@ -145,11 +139,6 @@
             self.connection.close()
             self.connection = None
 
-    @property
-    def is_reused(self) -> bool:
-        """Whether an earlier request was sent on the connection."""
-        return self.reused
-
     def receive(self) -> bytes:
         """Returns the next bytes, empty at the connection's end.
 
@@ -166,15 +155,15 @@
     def complete(self, is_reusable: bool, keep_alive: str | None) -> None:
         """Takes notice of a complete response: whether its connection can be reused."""
         self.phase = Phase.DONE
-        self.reusable, self.keep_alive = is_reusable, keep_alive
+        self.is_reusable, self.keep_alive = is_reusable, keep_alive
 
     def _exchange(
         self,
         request: OriginRequest,
         timeout_seconds: float,
         max_buffered_bytes: int,
-        echo: Echo | None = None,
-    ) -> WholeAnswer:
+        echo: RequestIdEcho | None = None,
+    ) -> OriginResponse:
         is_check = self.phase is Phase.INSTANCE_CHECK
         self._deadline_seconds = time.monotonic() + timeout_seconds
         try:
@@ -183,11 +172,11 @@
             return self._read(request.method, max_buffered_bytes, echo)
         except (OSError, HTTPParseError, ValueError) as problem:
             is_late = isinstance(problem, TimeoutError)
-            raise ExchangeFailure(
+            raise ExchangeError(
                 f"{self.phase.value}: {'deadline' if is_late else problem}",
-                sent=not is_check,
-                died=self.reused and isinstance(problem, ConnectionError),
-                silent=is_late,
+                was_sent=not is_check,
+                is_process_gone=self.is_reused and isinstance(problem, ConnectionError),
+                timed_out=is_late,
             ) from problem
 
     def _send(self, data: bytes, timeout_seconds: float) -> None:
@@ -198,7 +187,9 @@
         except ConnectionError as problem:
             self.send_error = problem
 
-    def _read(self, method: str, max_buffered_bytes: int, echo: Echo | None) -> WholeAnswer:
+    def _read(
+        self, method: str, max_buffered_bytes: int, echo: RequestIdEcho | None
+    ) -> OriginResponse:
         reader = ResponseReader(self)
         try:
             return reader.read(method, max_buffered_bytes, echo)
--- a/src/willowpost/proxy/origin/instance_check.py
+++ b/src/willowpost/proxy/origin/instance_check.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from willowpost.proxy.origin.answer import WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.errors import ExchangeError
+from willowpost.proxy.origin.response import OriginResponse
 
 TOKEN_HEADER = "wp-token"
-SECONDS = 1.0
+TIMEOUT_SECONDS = 1.0
 MAX_CHECK_BODY_BYTES = 64 * 1024
 FIRST_UNHEALTHY_STATUS = 300
 
@@ -23,17 +23,17 @@
     path: str
     token: str
 
-    def judge(self, response: WholeAnswer) -> None:
+    def verify(self, response: OriginResponse) -> None:
         """Accepts only the very incarnation that registered, if it reports to be healthy.
 
         Raises:
-            ExchangeFailure: Another process answers, or it reports to be unhealthy.
+            ExchangeError: Another process answers, or it reports to be unhealthy.
         """
         if response.header(TOKEN_HEADER) != self.token:
-            raise ExchangeFailure(
-                "instance check: another life answers here", sent=False, died=True
+            raise ExchangeError(
+                "instance check: another life answers here", was_sent=False, is_process_gone=True
             )
         if response.status >= FIRST_UNHEALTHY_STATUS:
-            raise ExchangeFailure(
-                f"instance check: calls itself unsound, {response.status}", sent=False
+            raise ExchangeError(
+                f"instance check: calls itself unsound, {response.status}", was_sent=False
             )
--- a/src/willowpost/proxy/origin/reports.py
+++ b/src/willowpost/proxy/origin/load_reports.py
@@ -40,8 +40,8 @@
     warming_up_until: int
 
 
-class Reports:
-    """Updates `node_state.reports` and `node_state.cold` by the heartbeats of known origins.
+class OriginLoadReports:
+    """Updates `node_state.reports` and `node_state.reported_warm_up` by the heartbeats of known origins.
 
     `reports` has a LoadReport by origin; `cold` has a WarmUpReport by origin.
     """
@@ -65,7 +65,7 @@
     def _is_current(self, heartbeat: OriginHeartbeat) -> bool:
         return (
             heartbeat.origin in self.node_state.tables.origins
-            and heartbeat.number >= self.heartbeat_numbers.get(heartbeat.origin, 0)
+            and heartbeat.heartbeat_number >= self.heartbeat_numbers.get(heartbeat.origin, 0)
         )
 
     def _update(self, heartbeat: OriginHeartbeat, now: int) -> None:
@@ -73,11 +73,11 @@
         known = node_state.tables.origins
         self.heartbeat_numbers = {
             **_only(known, self.heartbeat_numbers),
-            origin: heartbeat.number,
+            origin: heartbeat.heartbeat_number,
         }
-        warming_up_until = now + heartbeat.cold if heartbeat.cold else 0
-        node_state.cold = {
-            **_only(known, node_state.cold),
+        warming_up_until = now + heartbeat.warm_up_us if heartbeat.warm_up_us else 0
+        node_state.reported_warm_up = {
+            **_only(known, node_state.reported_warm_up),
             origin: WarmUpReport(now, warming_up_until),
         }
         if origin in node_state.snapshot.origins:
--- a/src/willowpost/proxy/origin/measurements.py
+++ b/src/willowpost/proxy/origin/measurements.py
@@ -3,12 +3,12 @@
 import math
 from dataclasses import dataclass, field
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 
 # an origin is unresponsive if a request waits this long, and four times the usual latency
-MIN_UNRESPONSIVE_US = 250 * MILLI
+MIN_UNRESPONSIVE_US = 250 * MILLISECOND
 UNRESPONSIVE_LATENCIES = 4
-DEFAULT_LATENCY_US = 50 * MILLI  # while no origin of the service has answered yet
+DEFAULT_LATENCY_US = 50 * MILLISECOND  # while no origin of the service has answered yet
 LATENCY_SMOOTHING = 0.15
 LATENCY_HALF_LIFE_US = 2 * SECOND  # of what is known of an origin that is sent nothing
 LOAD_HALF_LIFE_US = 1 * SECOND  # of the load that a response reports
--- a/src/willowpost/proxy/origin/answer.py
+++ b/src/willowpost/proxy/origin/response.py
@@ -7,27 +7,27 @@
 
 
 @dataclass(slots=True)
-class WholeAnswer:
+class OriginResponse:
     """A final response.
 
     Attributes:
         status: The HTTP status code.
         headers: (lower-case name, value) pairs in the order received.
-        body: The complete body without its framing, or empty if `rest` is set.
-        rest: The body in blocks, for a body over the size limit; closing the generator before its
+        body: The complete body without its framing, or empty if `stream` is set.
+        stream: The body in blocks, for a body over the size limit; closing the generator before its
             end closes the connection.
     """
 
     status: int
     headers: list[Header] = field(default_factory=list)
     body: bytes = b""
-    rest: Generator[bytes, None, None] | None = None
+    stream: Generator[bytes, None, None] | None = None
 
     def header(self, name: str) -> str | None:
         """Returns the value of the first header with that lower-case name, or None."""
         return next((value for header, value in self.headers if header == name), None)
 
-    def lowered(self) -> dict[str, str]:
+    def headers_by_name(self) -> dict[str, str]:
         """Returns the headers by name; repeated ones are joined with commas (RFC 9110, 5.3)."""
         joined: dict[str, str] = {}
         for name, value in self.headers:
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Echo:
+class RequestIdEcho:
     """The request id that a response has to carry.
 
     Attributes:
--- a/src/willowpost/proxy/origin/response_parser.py
+++ b/src/willowpost/proxy/origin/response_parser.py
@@ -1,6 +1,6 @@
 """Parses one response with geventhttpclient's parser and detects bytes that follow it."""
 
-from willowpost.shell.parsing import HTTPParseError, HTTPResponseParser
+from willowpost.shell.http_parser import HTTPParseError, HTTPResponseParser
 
 FIRST_VALID_STATUS = 100
 FIRST_FINAL_STATUS = 200
--- a/src/willowpost/proxy/origin/response_reader.py
+++ b/src/willowpost/proxy/origin/response_reader.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from willowpost.proxy.origin.answer import Echo, WholeAnswer
 from willowpost.proxy.origin.content_digest import DigestVerifier, stated_digests
 from willowpost.proxy.origin.framing import BODYLESS_STATUSES, content_length, head_end
+from willowpost.proxy.origin.response import OriginResponse, RequestIdEcho
 from willowpost.proxy.origin.response_parser import ResponseParser
 
 MAX_HEAD_BYTES = 256 * 1024  # of all heads, the interim ones counted, until the final one ends
@@ -53,7 +53,7 @@
     """
 
     parser: ResponseParser
-    response: WholeAnswer
+    response: OriginResponse
     headers: dict[str, str]
     content_length: int | None
     digest: DigestVerifier
@@ -63,7 +63,7 @@
 class ResponseReader:
     """Reads one response from a connection.
 
-    What read() returns is complete and answers this very request; a body streamed as its `rest`
+    What read() returns is complete and answers this very request; a body streamed as its `stream`
     ends with an exception if it is not.
 
     Args:
@@ -77,13 +77,15 @@
         # something was sent or received that leaves open what comes next on the connection
         self._is_ambiguous = source.send_error is not None
 
-    def read(self, method: str, max_buffered_bytes: int, echo: Echo | None) -> WholeAnswer:
+    def read(
+        self, method: str, max_buffered_bytes: int, echo: RequestIdEcho | None
+    ) -> OriginResponse:
         """Returns the response to this request.
 
         Args:
             method: The request's method.
             max_buffered_bytes: The largest body that is read into memory; a larger one comes as the
-                response's `rest`.
+                response's `stream`.
             echo: The request id that the response must carry, or None.
 
         Raises:
@@ -101,7 +103,7 @@
             buffered = self._skip(incoming)
         raise ValueError("answers to other requests")
 
-    def _check_request_id(self, response: WholeAnswer, echo: Echo | None) -> None:
+    def _check_request_id(self, response: OriginResponse, echo: RequestIdEcho | None) -> None:
         """Checks a response that names no other request.
 
         A response without any id can be ours only if nothing else was sent on the connection.
@@ -125,8 +127,8 @@
             parser.parse(data)
             if not parser.has_final_head:
                 _check_head_size(data, received)
-        response = WholeAnswer(parser.status, parser.headers)
-        headers = response.lowered()
+        response = OriginResponse(parser.status, parser.headers)
+        headers = response.headers_by_name()
         parser.is_bodyless = parser.is_bodyless or parser.status in BODYLESS_STATUSES
         digest = DigestVerifier([] if parser.is_bodyless else stated_digests(headers))
         length = content_length(headers, parser.is_bodyless, digest.has_digests)
@@ -154,16 +156,16 @@
             received += data
         return received[end:]
 
-    def _read_body(self, incoming: IncomingResponse, max_buffered_bytes: int) -> WholeAnswer:
+    def _read_body(self, incoming: IncomingResponse, max_buffered_bytes: int) -> OriginResponse:
         parser, response, length = incoming.parser, incoming.response, incoming.content_length
         if not parser.is_bodyless and length is not None and length > max_buffered_bytes:
-            response.rest = self._stream(incoming)
+            response.stream = self._stream(incoming)
             return response
         while not parser.is_complete:
             if not self._receive_more(parser):
                 break
             if parser.body_size > max_buffered_bytes:
-                response.rest = self._stream(incoming)
+                response.stream = self._stream(incoming)
                 return response
         response.body = b"" if parser.is_bodyless else b"".join(parser.blocks)
         incoming.digest.update(response.body)
--- a/src/willowpost/proxy/origin/pick.py
+++ b/src/willowpost/proxy/origin/selection.py
@@ -9,6 +9,7 @@
 from typing import Protocol
 
 from willowpost.common.clock import SECOND
+from willowpost.proxy.origin.load_reports import MAX_REPORT_AGE_US
 from willowpost.proxy.origin.measurements import (
     DEFAULT_LATENCY_US,
     NO_MEASUREMENTS,
@@ -16,14 +17,15 @@
     ResponseLoad,
     parse_load_header,
 )
-from willowpost.proxy.origin.reports import MAX_REPORT_AGE_US
-from willowpost.proxy.routing.snapshot import OriginCard
+from willowpost.proxy.routing.snapshot import RoutableOrigin
 
 EJECTION_US = 1 * SECOND
 MAX_LOAD_PENALTY = 4.0
 # a report is of one moment: a few requests more, or a third more, is no difference
 LOAD_OFFSET, LOAD_TOLERANCE = 2, 1.3
-HEAVY = 32 * 1024  # bytes of a response, from which on its transfer costs more than its wait
+HEAVY_RESPONSE_BYTES = (
+    32 * 1024
+)  # bytes of a response, from which on its transfer costs more than its wait
 # the cost of a distance by whether responses are heavy
 OTHER_ZONE_COST = {False: 1.3, True: 2.0}
 OTHER_REGION_COST = {False: 1.5, True: 8.0}
@@ -40,7 +42,7 @@
         """Returns a number from 0 to 1."""
 
 
-class OriginPicker:
+class OriginSelector:
     """Ranks origins by expected response time, load and distance.
 
     An origin that just failed is ranked last, and one that is warming up after all others that are
@@ -55,8 +57,8 @@
         regions: Zone to region.
 
     Attributes:
-        load: The number of this proxy's requests in flight by origin; not forgotten by keep_only(),
-            since each request ends its own count.
+        in_flight: The number of this proxy's requests in flight by origin; not forgotten by
+            retain_only(), since each request ends its own count.
         ejected_until: Until when an origin is ranked last, by this process's clock, in µs.
     """
 
@@ -71,19 +73,19 @@
         self.chance = chance
         self.reports = reports
         self.regions = regions or {}
-        self.load: dict[str, int] = {}
+        self.in_flight: dict[str, int] = {}
         self.ejected_until: dict[str, int] = {}
         self._measurements: dict[str, OriginMeasurements] = {}
         self._last_ticket = 0
 
-    def pick(
+    def rank(
         self,
-        origins: Iterable[OriginCard],
+        origins: Iterable[RoutableOrigin],
         zones: Container[str] | None,
         tried: Container[str],
         now: int,
         heavy: bool = False,
-    ) -> list[OriginCard]:
+    ) -> list[RoutableOrigin]:
         """Returns the origins that a request may be sent to, best first.
 
         Args:
@@ -104,35 +106,37 @@
             allowed,
             key=lambda origin: (
                 self._is_ejected(origin.name, now),
-                origin.cold,
-                self.silent(origin.name, now),
+                origin.is_warming_up,
+                self.is_unresponsive(origin.name, now),
                 self._cost(origin, least_latency, now, heavy) * penalties.get(origin.name, 1.0),
                 self.chance.random(),
             ),
         )
 
-    def began(self, name: str, now: int = 0) -> int:
+    def record_start(self, name: str, now: int = 0) -> int:
         """Counts a request to an origin as in flight.
 
         Returns:
-            A ticket for ended().
+            A ticket for record_end().
         """
-        self.load[name] = self.load.get(name, 0) + 1
+        self.in_flight[name] = self.in_flight.get(name, 0) + 1
         self._last_ticket += 1
         self._measurements_of(name).sent_at[self._last_ticket] = now
         return self._last_ticket
 
-    def ended(self, name: str, ticket: int = 0) -> None:
+    def record_end(self, name: str, ticket: int = 0) -> None:
         """Ends the count of a request, whatever its result."""
-        remaining = self.load.get(name, 1) - 1
+        remaining = self.in_flight.get(name, 1) - 1
         if remaining:
-            self.load[name] = remaining
+            self.in_flight[name] = remaining
         else:
-            self.load.pop(name, None)
+            self.in_flight.pop(name, None)
         if name in self._measurements:
             self._measurements[name].sent_at.pop(ticket, None)
 
-    def answered(self, name: str, latency_us: int, load_header: str | None, now: int) -> None:
+    def record_response(
+        self, name: str, latency_us: int, load_header: str | None, now: int
+    ) -> None:
         """Records a response.
 
         Args:
@@ -142,7 +146,7 @@
                 None.
             now: This process's clock, in µs.
         """
-        load = parse_load_header(load_header, self.load.get(name, 0), now)
+        load = parse_load_header(load_header, self.in_flight.get(name, 0), now)
         self._measurements_of(name).record_response(latency_us, load, now)
 
     def eject(self, name: str, now: int, span: int = EJECTION_US) -> None:
@@ -152,16 +156,16 @@
         }
         self.ejected_until[name] = now + span
 
-    def keep_only(self, names: Container[str]) -> None:
+    def retain_only(self, names: Container[str]) -> None:
         """Forgets the measurements of all origins but these."""
         for name in [name for name in self._measurements if name not in names]:
             del self._measurements[name]
 
-    def avoided(self, name: str, now: int) -> bool:
+    def is_avoided(self, name: str, now: int) -> bool:
         """Whether a shield should be tried last: it failed lately, or is unresponsive."""
-        return self._is_ejected(name, now) or self.silent(name, now)
+        return self._is_ejected(name, now) or self.is_unresponsive(name, now)
 
-    def silent(self, name: str, now: int) -> bool:
+    def is_unresponsive(self, name: str, now: int) -> bool:
         """Whether it owes a response for long and has answered nothing sent later."""
         return self._measurements.get(name, NO_MEASUREMENTS).is_unresponsive(now)
 
@@ -171,12 +175,12 @@
     def _is_ejected(self, name: str, now: int) -> bool:
         return self.ejected_until.get(name, 0) > now
 
-    def _least_latency(self, origins: Sequence[OriginCard]) -> float:
+    def _least_latency(self, origins: Sequence[RoutableOrigin]) -> float:
         measured = (self._measurements.get(origin.name, NO_MEASUREMENTS) for origin in origins)
         latencies = (each.latency_us for each in measured if each.latency_us is not None)
         return min(latencies, default=DEFAULT_LATENCY_US)
 
-    def _load_penalties(self, origins: Collection[OriginCard], now: int) -> dict[str, float]:
+    def _load_penalties(self, origins: Collection[RoutableOrigin], now: int) -> dict[str, float]:
         """Returns how many times busier than the median each origin reports to be, at least 1.
 
         Load is relative to the origin's rate. Reports older than MAX_REPORT_AGE_US do not count.
@@ -199,20 +203,20 @@
         is_same_region = self.regions.get(zone) == self.regions.get(self.zone)
         return (OTHER_ZONE_COST if is_same_region else OTHER_REGION_COST)[heavy]
 
-    def _queueing_cost(self, origin: OriginCard, now: int) -> float:
+    def _queueing_cost(self, origin: RoutableOrigin, now: int) -> float:
         """Returns by which factor the origin's load prolongs a response."""
         load = self._measurements.get(origin.name, NO_MEASUREMENTS).load
         load = load or ResponseLoad(0, origin.slots, 0, now)
-        utilization = load.utilization(self.load.get(origin.name, 0), now)
+        utilization = load.utilization(self.in_flight.get(origin.name, 0), now)
         queueing = max(0.0, utilization - FREE_UTILIZATION) * QUEUEING_COST
         overload = max(0.0, utilization - 1.0) * OVERLOAD_COST
         return 1.0 + queueing + overload
 
-    def _cost(self, origin: OriginCard, least_latency: float, now: int, heavy: bool) -> float:
+    def _cost(self, origin: RoutableOrigin, least_latency: float, now: int, heavy: bool) -> float:
         """Returns the cost of choosing an origin; the least is best."""
         distance = self._distance_cost(origin.zone, heavy)
         if not origin.slots:
-            return (self.load.get(origin.name, 0) + 1) * distance / origin.rate
+            return (self.in_flight.get(origin.name, 0) + 1) * distance / origin.rate
         measurements = self._measurements.get(origin.name, NO_MEASUREMENTS)
         return (
             measurements.expected_latency(least_latency, now)
--- a/src/willowpost/proxy/outgoing.py
+++ b/src/willowpost/proxy/outgoing.py
@@ -11,14 +11,14 @@
 from enum import Enum
 from typing import Protocol
 
-from willowpost.common.clock import MILLI
-from willowpost.node.node_state import LEASE
+from willowpost.common.clock import MILLISECOND
+from willowpost.node.node_state import LEASE_US
 from willowpost.proxy.routing.request import Request
 
 # An exchange may take so long to end after its client has disconnected.
-MAX_ORPHANED_US = 500 * MILLI
+MAX_ORPHANED_US = 500 * MILLISECOND
 # between the last lease check and this check, on a machine without a processor
-LEASE_CHECK_SLACK_US = 100 * MILLI
+LEASE_CHECK_SLACK_US = 100 * MILLISECOND
 AGE_BOUNDS_MS = (100, 200, 300, 400, 600, 800, 1000, 1200, 1500, 2000, 3000, 5000, 10_000)
 
 
@@ -34,7 +34,7 @@
 class NodeView(Protocol):
     """The part of the proxy's shared state that is checked."""
 
-    def age(self, now: int) -> int | None:
+    def tables_age(self, now: int) -> int | None:
         """Returns the µs since the tables were known to be complete."""
 
     def has_quorum_contact(self, now: int) -> bool:
@@ -77,7 +77,7 @@
 
     def add(self, age: int) -> None:
         """Counts one age, in µs."""
-        self.counts[bisect_left(AGE_BOUNDS_MS, age / MILLI)] += 1
+        self.counts[bisect_left(AGE_BOUNDS_MS, age / MILLISECOND)] += 1
         self.total += age
 
 
@@ -147,10 +147,10 @@
 
     def _check(self, request: Request, receiver: str, in_force: bool) -> None:
         now = self.now()
-        age = self.node_state.age(now)
+        age = self.node_state.tables_age(now)
         if age is not None:
             self.ages.add(age)
-        is_stale = age is None or age > LEASE + LEASE_CHECK_SLACK_US
+        is_stale = age is None or age > LEASE_US + LEASE_CHECK_SLACK_US
         if is_stale and self.node_state.has_quorum_contact(now):
             self._record_violation(Invariant.TABLES_CURRENT, request, receiver, age or 0)
         if request.lifetime.has_ended:
@@ -169,7 +169,7 @@
                 "invariant violated",
                 level="error",
                 invariant=invariant.value,
-                request=request.name,
+                request=request.request_id,
                 receiver=receiver,
-                age_ms=age // MILLI,
+                age_ms=age // MILLISECOND,
             )
--- a/src/willowpost/proxy/proxy_state.py
+++ b/src/willowpost/proxy/proxy_state.py
@@ -93,7 +93,7 @@
         """Whether the tables may deny a request: a configuration is there, and it is current.
 
         What the tables lack may have been accepted since they were last confirmed, so only tables
-        confirmed within `OUT_OF_TOUCH_AFTER` can tell that something does not exist or is too
+        confirmed within `MAX_IN_TOUCH_AGE_US` can tell that something does not exist or is too
         large. `max_stale_serving` may be much longer than that.
         """
         is_configured = self.snapshot.version > 0 or self.tables.configuration.tree is not None
--- a/src/willowpost/proxy/request_parser.py
+++ b/src/willowpost/proxy/request_parser.py
@@ -2,12 +2,12 @@
 
 import re
 
-from willowpost.common.clock import MILLI
-from willowpost.proxy.caller.lifetime import RequestLifetime
-from willowpost.proxy.caller.request_head import ClientRequestHead
+from willowpost.common.clock import MILLISECOND
+from willowpost.proxy.client.lifetime import RequestLifetime
+from willowpost.proxy.client.request_head import ClientRequestHead
 from willowpost.proxy.proxy_state import ProxyState
+from willowpost.proxy.routing.header_names import HeaderNames
 from willowpost.proxy.routing.request import Request
-from willowpost.proxy.routing.words import Words
 
 HOST = re.compile(r"[A-Za-z0-9._-]{1,253}(:\d{1,5})?")
 INVALID_TARGET_CHARACTER = re.compile(r"[^\x21-\x7e]")
@@ -32,7 +32,7 @@
         words: Names of the headers shared with clients and origins.
     """
 
-    def __init__(self, node_state: ProxyState, words: Words) -> None:
+    def __init__(self, node_state: ProxyState, words: HeaderNames) -> None:
         self._node_state, self._words = node_state, words
 
     def parse(
@@ -57,7 +57,7 @@
             headers,
             is_from_edge,
             is_from_edge and "wp-extra" in headers,
-            headers.get(self._words.request),
+            headers.get(self._words.request_id),
             self._time_left(headers),
             received_at,
             lifetime,
@@ -65,9 +65,9 @@
 
     def _time_left(self, headers: dict[str, str]) -> int | None:
         """Returns how long the client waits, in µs, or None if it did not say."""
-        milliseconds = headers.get(self._words.left, "")
+        milliseconds = headers.get(self._words.remaining_time, "")
         is_number = milliseconds.isascii() and milliseconds.isdigit()
-        return int(milliseconds) * MILLI if is_number else None
+        return int(milliseconds) * MILLISECOND if is_number else None
 
 
 def _origin_form(target: str) -> str:
--- a/src/willowpost/proxy/routing/at_most_once.py
+++ b/src/willowpost/proxy/routing/at_most_once.py
@@ -1,7 +1,7 @@
 """Requests that may run only once: each attempt goes to another origin, on a fresh connection."""
 
-from willowpost.proxy.origin.answer import WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure, FailureReason
+from willowpost.proxy.origin.errors import ExchangeError, FailureReason
+from willowpost.proxy.origin.response import OriginResponse
 from willowpost.proxy.routing.attempt import (
     NOT_RUN_STATUSES,
     RETRY_SOON_SECONDS,
@@ -48,16 +48,16 @@
             try:
                 response = self.attempts.send_to_origin(request, plan, body, deadline, history)
                 return self._outcome(response)
-            except ExchangeFailure as failure:
+            except ExchangeError as failure:
                 last_failure = failure
-                if failure.ran:
+                if failure.may_have_executed:
                     raise _incomplete(failure) from failure
-                if failure.why is FailureReason.SERVICE:
+                if failure.reason is FailureReason.SERVICE:
                     break
-        detail = last_failure.what if last_failure else "no try left"
+        detail = last_failure.description if last_failure else "no try left"
         raise RequestRejectedError(503, f"no origin took it: {detail}", RETRY_SOON_SECONDS)
 
-    def _outcome(self, response: WholeAnswer) -> Outcome:
+    def _outcome(self, response: OriginResponse) -> Outcome:
         if response.status in NOT_RUN_STATUSES:
             raise RequestRejectedError(
                 502,
@@ -72,12 +72,13 @@
             if pair[0] not in (names.request_id, names.load)
         ]
         return Outcome(
-            WholeAnswer(response.status, headers, response.body, response.rest), ResponseSource.PASS
+            OriginResponse(response.status, headers, response.body, response.stream),
+            ResponseSource.PASS,
         )
 
 
-def _incomplete(failure: ExchangeFailure) -> RequestRejectedError:
+def _incomplete(failure: ExchangeError) -> RequestRejectedError:
     """Returns the rejection after a failure by which an origin may have run the request."""
-    status = 504 if "deadline" in failure.what else 502
-    reason = f"no whole answer: {failure.what}"
+    status = 504 if "deadline" in failure.description else 502
+    reason = f"no whole answer: {failure.description}"
     return RequestRejectedError(status, reason, UNKNOWN_RETRY_SECONDS, UNKNOWN_OUTCOME)
--- a/src/willowpost/proxy/routing/attempt_resources.py
+++ b/src/willowpost/proxy/routing/attempt_resources.py
@@ -8,9 +8,9 @@
 from willowpost.proxy.admission.quota_admission import QuotaAdmission
 from willowpost.proxy.admission.retry_budget import RetryBudget
 from willowpost.proxy.admission.slow_start import SlowStartAdmission
-from willowpost.proxy.origin.answer import Echo, WholeAnswer
 from willowpost.proxy.origin.instance_check import InstanceCheck
-from willowpost.proxy.origin.pick import OriginPicker
+from willowpost.proxy.origin.response import OriginResponse, RequestIdEcho
+from willowpost.proxy.origin.selection import OriginSelector
 from willowpost.proxy.outgoing import OutgoingRequests
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.header_names import DEFAULT_HEADER_NAMES, HeaderNames
@@ -28,8 +28,8 @@
 
     reused: bool
 
-    def instance_check(self, instance_check: InstanceCheck, seconds: float) -> None:
-        """Asks which process answers; see `Exchange.instance_check`."""
+    def check_instance(self, instance_check: InstanceCheck, seconds: float) -> None:
+        """Asks which process answers; see `Exchange.check_instance`."""
 
     def run(
         self,
@@ -39,8 +39,8 @@
         body: bytes,
         seconds: float,
         whole_max: int,
-        echo: Echo | None = None,
-    ) -> WholeAnswer:
+        echo: RequestIdEcho | None = None,
+    ) -> OriginResponse:
         """Sends a request and returns the response; see `Exchange.run`."""
 
     def close(self) -> None:
@@ -58,7 +58,7 @@
 
 
 class RequestIo(Protocol):
-    """Input and output of request tasks; see origin/io.py."""
+    """Input and output of request tasks; see origin/connections.py."""
 
     waiter: Callable[[], Waiter]
 
@@ -74,7 +74,7 @@
         """Returns a connection to the owner."""
 
     def finish(
-        self, owner: str, exchange: Any, may_reuse: bool, response: WholeAnswer | None, /
+        self, owner: str, exchange: Any, may_reuse: bool, response: OriginResponse | None, /
     ) -> None:
         """Ends the use of a connection."""
 
@@ -102,7 +102,7 @@
     quota_admission: QuotaAdmission
     slow_start: SlowStartAdmission
     retry_budget: RetryBudget
-    origin_selector: OriginPicker
+    origin_selector: OriginSelector
     io: RequestIo
     stats: Counter[str]
     outgoing: OutgoingRequests
--- a/src/willowpost/proxy/routing/attempts.py
+++ b/src/willowpost/proxy/routing/attempts.py
@@ -1,6 +1,6 @@
 """Single attempts of a request: to a shield, or to an origin."""
 
-from willowpost.proxy.origin.answer import WholeAnswer
+from willowpost.proxy.origin.response import OriginResponse
 from willowpost.proxy.routing.attempt import AttemptHistory
 from willowpost.proxy.routing.attempt_resources import AttemptResources
 from willowpost.proxy.routing.origin_attempts import OriginAttempts
@@ -31,7 +31,7 @@
         body: bytes,
         deadline: int,
         history: AttemptHistory,
-    ) -> WholeAnswer:
+    ) -> OriginResponse:
         """Sends a request to an origin; see `OriginAttempts.send`."""
         return self.origin_attempts.send(request, plan, body, deadline, history)
 
@@ -42,6 +42,6 @@
         shield: Shield,
         deadline: int,
         history: AttemptHistory,
-    ) -> WholeAnswer:
+    ) -> OriginResponse:
         """Sends a request to a shield; see `ShieldAttempts.send`."""
         return self.shield_attempts.send(request, plan, shield, deadline, history)
--- a/src/willowpost/proxy/routing/collapsed_fetches.py
+++ b/src/willowpost/proxy/routing/collapsed_fetches.py
@@ -4,8 +4,9 @@
 from dataclasses import dataclass
 
 from willowpost.common.clock import SECOND
-from willowpost.proxy.cache.store import CacheStore, Entry
-from willowpost.proxy.caller.lifetime import RequestLifetime
+from willowpost.proxy.cache.entry import CacheEntry
+from willowpost.proxy.cache.store import CacheStore
+from willowpost.proxy.client.lifetime import RequestLifetime
 from willowpost.proxy.routing.attempt import RequestRejectedError
 from willowpost.proxy.routing.attempt_resources import MonotonicClock, Waiter
 from willowpost.proxy.routing.attempts import Attempts
@@ -31,7 +32,7 @@
         is_aborted: Whether the fetch ended without either, for a reason of its own.
     """
 
-    entry: Entry | None = None
+    entry: CacheEntry | None = None
     rejection: RequestRejectedError | None = None
     is_aborted: bool = False
 
@@ -118,7 +119,7 @@
 
     def _may_join(self, fetch: FetchInFlight, request: Request, plan: FetchPlan) -> bool:
         """Whether no purge has hit the fetch since it began, and the request asks for the same."""
-        return not self.cache.purged_since(fetch.slot, request.host, request.target) and (
+        return not self.cache.is_purged_since(fetch.slot, request.host, request.target) and (
             plan.fetches_complete or "range" not in request.headers
         )
 
@@ -145,12 +146,12 @@
             return cached_outcome(result.entry, self.clock.now())
         return self._fetch_alone(request, plan, b"").outcome
 
-    def _may_use(self, entry: Entry, request: Request) -> bool:
+    def _may_use(self, entry: CacheEntry, request: Request) -> bool:
         """Whether a shared response is of the request's variant and no purge has hit it.
 
         The fetch may have passed a shield that did not know of a purge that is known here.
         """
-        return not self.cache.purged_since(
+        return not self.cache.is_purged_since(
             entry.slot, request.host, request.target, entry.tags
         ) and all(request.headers.get(name, "") == value for name, value in entry.variant)
 
--- a/src/willowpost/proxy/routing/headers.py
+++ b/src/willowpost/proxy/routing/headers.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from willowpost.common.clock import MILLI
-from willowpost.proxy.cache.store import Entry
+from willowpost.common.clock import MILLISECOND
+from willowpost.proxy.cache.entry import CacheEntry
 from willowpost.proxy.routing.header_names import HeaderNames
 from willowpost.proxy.routing.request import Request
 
@@ -49,7 +49,7 @@
         fetches_complete: Whether to ask for the complete object, whatever range the caller wants.
     """
 
-    cached_entry: Entry | None = None
+    cached_entry: CacheEntry | None = None
     remaining_us: int | None = None
     incarnation: str | None = None
     fetches_complete: bool = False
@@ -152,7 +152,7 @@
     return [("host", request.host), *forwarded, *_conditions(options.cached_entry)]
 
 
-def _conditions(entry: Entry | None) -> HeaderList:
+def _conditions(entry: CacheEntry | None) -> HeaderList:
     """Returns the condition that revalidates a stored response (RFC 9111, 4.3.1)."""
     stored = dict(entry.headers) if entry is not None else {}
     if "etag" in stored:
@@ -165,5 +165,5 @@
 def _identity_headers(request: Request, names: HeaderNames, options: ForwardOptions) -> HeaderList:
     headers = [] if request.request_id is None else [(names.request_id, request.request_id)]
     if options.remaining_us is not None:
-        headers.append((names.remaining_time, str(max(1, options.remaining_us // MILLI))))
+        headers.append((names.remaining_time, str(max(1, options.remaining_us // MILLISECOND))))
     return headers
--- a/src/willowpost/proxy/routing/origin_admission.py
+++ b/src/willowpost/proxy/routing/origin_admission.py
@@ -4,7 +4,7 @@
 
 from willowpost.configuration.routes import Route
 from willowpost.proxy.admission.admission_decision import AdmissionDecision
-from willowpost.proxy.origin.pick import HEAVY
+from willowpost.proxy.origin.selection import HEAVY_RESPONSE_BYTES
 from willowpost.proxy.routing.attempt import (
     RETRY_SOON_SECONDS,
     AttemptHistory,
@@ -84,12 +84,12 @@
         self, route: Route, service: RoutableService, history: AttemptHistory, now: int
     ) -> list[RoutableOrigin]:
         """Returns the origins that may be tried, best first."""
-        candidates: list[RoutableOrigin] = self.resources.origin_selector.pick(
+        candidates: list[RoutableOrigin] = self.resources.origin_selector.rank(
             service.origins,
             self._allowed_zones(route),
             history.tried_origins,
             now,
-            self.sizes.of(route.name) > HEAVY,
+            self.sizes.of(route.name) > HEAVY_RESPONSE_BYTES,
         )
         return candidates
 
@@ -129,7 +129,9 @@
             return candidates
         resources = self.resources
         available = [
-            origin for origin in candidates if resources.io.room(origin.name, max_connections)
+            origin
+            for origin in candidates
+            if resources.io.has_capacity(origin.name, max_connections)
         ]
         if not available:
             raise RequestRejectedError(503, "no connection left", RETRY_SOON_SECONDS)
@@ -158,7 +160,7 @@
     ) -> bool:
         """Whether the attempt is admitted; requests an admission token if it needs one."""
         if decision is AdmissionDecision.NEEDS_TOKEN:
-            return self.resources.io.token(service_name, origin_name)
+            return self.resources.io.request_token(service_name, origin_name)
         return decision is AdmissionDecision.ADMITTED
 
 
--- a/src/willowpost/proxy/routing/origin_attempts.py
+++ b/src/willowpost/proxy/routing/origin_attempts.py
@@ -1,8 +1,8 @@
 """Attempts that are sent to an origin: selected, charged, checked, and their outcome recorded."""
 
-from willowpost.common.clock import MILLI, SECOND
-from willowpost.proxy.origin.answer import WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure, FailureReason
+from willowpost.common.clock import MILLISECOND, SECOND
+from willowpost.proxy.origin.errors import ExchangeError, FailureReason
+from willowpost.proxy.origin.response import OriginResponse
 from willowpost.proxy.routing.attempt import AttemptHistory
 from willowpost.proxy.routing.attempt_resources import AttemptResources
 from willowpost.proxy.routing.headers import ForwardOptions, headers_to_origin
@@ -18,9 +18,9 @@
 
 # How long an origin is ejected after a failure, in µs.
 EJECTION_US = {
-    FailureReason.BROKE: SECOND,
+    FailureReason.CONNECTION_FAILED: SECOND,
     FailureReason.INCARNATION: 5 * SECOND,
-    FailureReason.BUSY: 100 * MILLI,
+    FailureReason.BUSY: 100 * MILLISECOND,
     FailureReason.SERVICE: 0,
 }
 SERVER_ERROR_STATUS = 500  # RFC 9110, 15.6: this status and above
@@ -52,7 +52,7 @@
         body: bytes,
         deadline: int,
         history: AttemptHistory,
-    ) -> WholeAnswer:
+    ) -> OriginResponse:
         """Selects an origin, is admitted to it and sends the request.
 
         Args:
@@ -63,27 +63,27 @@
             history: The attempts made so far; updated.
 
         Raises:
-            ExchangeFailure: No valid response came, or the origin said that it has not run the
+            ExchangeError: No valid response came, or the origin said that it has not run the
                 request.
             RequestRejectedError: No origin may be tried now, or the proxy has no lease any more.
-            CallerGone: Nobody waits for the response any more.
+            ClientDisconnected: Nobody waits for the response any more.
         """
         selected = self.origin_admission.select(plan, history)
         origin_name = selected.origin.name
         history.tried_origins.add(origin_name)
         history.is_retry, was_helpful = False, False
         started_at = self.resources.clock.now()
-        ticket = self.resources.origin_selector.began(origin_name, started_at)
+        ticket = self.resources.origin_selector.record_start(origin_name, started_at)
         try:
             forwarded = self._forwarded(request, plan, body, deadline, selected, started_at)
             response = self._exchange(selected, forwarded, history, started_at)
             was_helpful = response.status < SERVER_ERROR_STATUS
             return response
-        except ExchangeFailure as failure:
+        except ExchangeError as failure:
             self._record_failure(selected, failure)
             raise
         finally:
-            self.resources.origin_selector.ended(origin_name, ticket)
+            self.resources.origin_selector.record_end(origin_name, ticket)
             if history.is_retry:
                 self.resources.retry_budget.record_retry_outcome(was_helpful, plan.service)
 
@@ -93,7 +93,7 @@
         forwarded: ForwardedRequest,
         history: AttemptHistory,
         started_at: int,
-    ) -> WholeAnswer:
+    ) -> OriginResponse:
         """Sends the request; returns its response once that is known to be the origin's."""
         plan = forwarded.plan
         response = self.sender.send(
@@ -150,19 +150,23 @@
         history.may_have_reached_origin = True
 
     def _record_response(
-        self, selected: AdmittedOrigin, response: WholeAnswer, started_at: int
+        self, selected: AdmittedOrigin, response: OriginResponse, started_at: int
     ) -> None:
         now = self.resources.clock.now()
         load = response.header(self.resources.header_names.load)
-        self.resources.origin_selector.answered(selected.origin.name, now - started_at, load, now)
+        self.resources.origin_selector.record_response(
+            selected.origin.name, now - started_at, load, now
+        )
 
-    def _record_failure(self, selected: AdmittedOrigin, failure: ExchangeFailure) -> None:
+    def _record_failure(self, selected: AdmittedOrigin, failure: ExchangeError) -> None:
         """Ejects the origin for a while, and lets it warm up if its process has ended."""
         now, origin_name = self.resources.clock.now(), selected.origin.name
-        self.resources.origin_selector.eject(origin_name, now, EJECTION_US[failure.why])
-        is_unreachable = failure.silent and not failure.sent
+        self.resources.origin_selector.eject(origin_name, now, EJECTION_US[failure.reason])
+        is_unreachable = failure.timed_out and not failure.was_sent
         # The end of a named incarnation shows by 421, so a request that was sent does not count.
-        has_ended = failure.died and not (selected.service.checks_incarnation and failure.sent)
+        has_ended = failure.is_process_gone and not (
+            selected.service.checks_incarnation and failure.was_sent
+        )
         if is_unreachable or has_ended:
             # The next process there warms up, which may be known here before it is in the log.
             self.resources.slow_start.suspect_restart(origin_name, now)
--- a/src/willowpost/proxy/routing/outcome.py
+++ b/src/willowpost/proxy/routing/outcome.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from willowpost.proxy.cache.store import Entry
-from willowpost.proxy.origin.answer import WholeAnswer
+from willowpost.proxy.cache.entry import CacheEntry
+from willowpost.proxy.origin.response import OriginResponse
 
 
 class ResponseSource(StrEnum):
@@ -26,7 +26,7 @@
         slot: The least log slot known to any daemon that the fetch passed when it began.
     """
 
-    answer: WholeAnswer
+    answer: OriginResponse
     source: ResponseSource
     age: int | None = None
     slot: int = 0
@@ -42,10 +42,10 @@
     """
 
     outcome: Outcome
-    shared_entry: Entry | None = None
+    shared_entry: CacheEntry | None = None
 
 
-def cached_outcome(entry: Entry, now: int) -> Outcome:
+def cached_outcome(entry: CacheEntry, now: int) -> Outcome:
     """Returns the outcome of a request that a stored response answers.
 
     Args:
@@ -55,6 +55,6 @@
     return Outcome(response_of(entry), ResponseSource.HIT, entry.age(now), entry.slot)
 
 
-def response_of(entry: Entry) -> WholeAnswer:
+def response_of(entry: CacheEntry) -> OriginResponse:
     """Returns a stored response as a response."""
-    return WholeAnswer(entry.status, list(entry.headers), entry.body)
+    return OriginResponse(entry.status, list(entry.headers), entry.body)
--- a/src/willowpost/proxy/routing/plan_executor.py
+++ b/src/willowpost/proxy/routing/plan_executor.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from willowpost.proxy.cache.ranges import PartMaker
+from willowpost.proxy.cache.ranges import RangeResponder
 from willowpost.proxy.cache.store import CacheStore
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.at_most_once import AtMostOnceSender
@@ -46,7 +46,7 @@
     ) -> None:
         self.node_state, self.clock, self.stats = node_state, clock, stats
         self.attempts = attempts
-        self.range_cutter = PartMaker(attempts.resources.header_names.seal)
+        self.range_cutter = RangeResponder(attempts.resources.header_names.seal)
         self.fetches = CollapsedFetches(cache, clock, attempts, stats)
         self.at_most_once = AtMostOnceSender(clock, attempts)
 
@@ -84,6 +84,6 @@
     def _cut(self, outcome: Outcome, byte_range: ByteRange) -> Outcome:
         """Returns the range of a complete response (RFC 9110, 15.3.7); other responses pass."""
         response = outcome.answer
-        if response.status != COMPLETE_STATUS or response.rest is not None:
+        if response.status != COMPLETE_STATUS or response.stream is not None:
             return outcome
         return replace(outcome, answer=self.range_cutter.make(response, byte_range))
--- a/src/willowpost/proxy/routing/planner.py
+++ b/src/willowpost/proxy/routing/planner.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from willowpost.configuration.routes import Route
-from willowpost.proxy.cache.ranges import one_range
+from willowpost.proxy.cache.ranges import parse_single_range
 from willowpost.proxy.cache.store import CacheStore
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.attempt import NO_LEASE_REASON, NO_LEASE_RETRY_SECONDS
@@ -81,7 +81,7 @@
             self.cache.find(request.host, request.target, request.headers) if is_cacheable else None
         )
         cut_range = byte_range if fetches_complete else None
-        if entry is not None and entry.fresh(now):
+        if entry is not None and entry.is_fresh(now):
             return CachePlan(entry, cut_range)
         return FetchPlan(
             route=route,
@@ -104,7 +104,7 @@
             and kind == CACHED
             and request.method == "GET"
             and ("range" not in request.headers or byte_range is not None)
-            and route.keeps_in(self.regions.get(self.node_state.descriptor.zone))
+            and route.may_cache_in(self.regions.get(self.node_state.descriptor.zone))
         )
 
     def _deny(self, status: int, reason: str, now: int) -> RejectPlan:
@@ -136,4 +136,4 @@
     """Returns the single range that the caller wants (RFC 9110, 14.2); None: none, or several."""
     if "range" not in request.headers or "if-range" in request.headers:
         return None
-    return one_range(request.headers["range"])
+    return parse_single_range(request.headers["range"])
--- a/src/willowpost/proxy/routing/repeatable_fetch.py
+++ b/src/willowpost/proxy/routing/repeatable_fetch.py
@@ -1,7 +1,7 @@
 """The fetch of one repeatable request: failed attempts are retried within the budget."""
 
-from willowpost.proxy.origin.answer import WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure, FailureReason
+from willowpost.proxy.origin.errors import ExchangeError, FailureReason
+from willowpost.proxy.origin.response import OriginResponse
 from willowpost.proxy.routing.attempt import (
     NOT_RUN_OUTCOME,
     RETRY_SOON_SECONDS,
@@ -52,8 +52,8 @@
         self.history = AttemptHistory(request.may_have_reached_origin)
         self.remaining_shields = [Shield(name, address) for name, address in plan.shields]
         self.remaining_attempts = plan.attempt_limit
-        self.last_failure: ExchangeFailure | None = None
-        self.last_error_response: WholeAnswer | None = None
+        self.last_failure: ExchangeError | None = None
+        self.last_error_response: OriginResponse | None = None
         self.may_have_run = False
         self.is_over = False
 
@@ -74,19 +74,19 @@
             return self._result(self.last_error_response)
         raise self._rejection()
 
-    def _result(self, response: WholeAnswer) -> FetchResult:
+    def _result(self, response: OriginResponse) -> FetchResult:
         return self.processor.process(self.request, self.plan, response, self.started_at)
 
-    def _attempt(self, now: int) -> WholeAnswer | None:
+    def _attempt(self, now: int) -> OriginResponse | None:
         """Makes one attempt; returns its response if it is final."""
         selector = self.attempts.resources.origin_selector
-        self.remaining_shields.sort(key=lambda shield: selector.avoided(shield.name, now))
+        self.remaining_shields.sort(key=lambda shield: selector.is_avoided(shield.name, now))
         attempt_deadline = self._attempt_deadline(now)
         is_through_shield = bool(self.remaining_shields)
         self.remaining_attempts -= 1
         try:
             response = self._send(attempt_deadline)
-        except ExchangeFailure as failure:
+        except ExchangeError as failure:
             self._record_failure(failure, is_through_shield)
             return None
         except RequestRejectedError:
@@ -108,7 +108,7 @@
         share = SHIELD_TIME_SHARE if self.remaining_shields else 1 / (attempts_after + 1)
         return now + int((self.deadline - now) * share)
 
-    def _send(self, deadline: int) -> WholeAnswer:
+    def _send(self, deadline: int) -> OriginResponse:
         if self.remaining_shields:
             shield = self.remaining_shields.pop(0)
             return self.attempts.send_to_shield(
@@ -118,27 +118,29 @@
             self.request, self.plan, self.body, deadline, self.history
         )
 
-    def _record_failure(self, failure: ExchangeFailure, is_through_shield: bool) -> None:
+    def _record_failure(self, failure: ExchangeError, is_through_shield: bool) -> None:
         self.last_failure = failure
-        self.may_have_run = self.may_have_run or failure.ran
-        if failure.why is FailureReason.SERVICE:
+        self.may_have_run = self.may_have_run or failure.may_have_executed
+        if failure.reason is FailureReason.SERVICE:
             self.is_over = True
-        elif is_through_shield and not failure.sent:
+        elif is_through_shield and not failure.was_sent:
             # No origin can have seen it, so the attempt does not count.
             self.remaining_attempts += 1
 
-    def _is_final(self, response: WholeAnswer, is_through_shield: bool) -> bool:
+    def _is_final(self, response: OriginResponse, is_through_shield: bool) -> bool:
         """Whether the response may be the caller's; records it if not."""
         if is_through_shield and self.processor.is_outdated(self.request, self.plan, response):
-            self.last_failure = ExchangeFailure("a shield's copy that a purge has ended", sent=True)
+            self.last_failure = ExchangeError(
+                "a shield's copy that a purge has ended", was_sent=True
+            )
             return False
         if is_unrequested_not_modified(response, self.request, self.plan):
-            self.last_failure = ExchangeFailure("a 304 that was not asked for", sent=True)
+            self.last_failure = ExchangeError("a 304 that was not asked for", was_sent=True)
             self.may_have_run = True
             return False
         has_kind = self.plan.route.kind is not None
         retried = RETRIED_STATUSES_OF_KIND if has_kind else RETRIED_STATUSES
-        if response.status in retried and response.rest is None:
+        if response.status in retried and response.stream is None:
             self.last_error_response, self.may_have_run = response, True
             return False
         return True
@@ -148,12 +150,12 @@
         failure = self.last_failure
         if failure is not None and not self.may_have_run and self.plan.route.kind is not None:
             return RequestRejectedError(
-                503, f"no origin took it: {failure.what}", RETRY_SOON_SECONDS
+                503, f"no origin took it: {failure.description}", RETRY_SOON_SECONDS
             )
-        is_late = failure is not None and "deadline" in failure.what
+        is_late = failure is not None and "deadline" in failure.description
         return RequestRejectedError(
             504 if is_late or self.clock.now() >= self.deadline else 502,
-            f"no whole answer: {failure.what if failure else 'no try left'}",
+            f"no whole answer: {failure.description if failure else 'no try left'}",
             1,
             NOT_RUN_OUTCOME if self.request.is_safe else UNKNOWN_OUTCOME,
         )
--- a/src/willowpost/proxy/routing/request.py
+++ b/src/willowpost/proxy/routing/request.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.configuration.routes import Route
-from willowpost.proxy.cache.store import Entry
-from willowpost.proxy.caller.lifetime import UNWATCHED, RequestLifetime
+from willowpost.proxy.cache.entry import CacheEntry
+from willowpost.proxy.client.lifetime import UNWATCHED_LIFETIME, RequestLifetime
 
 SAFE_METHODS = ("GET", "HEAD")
 # The kinds of routes; their values are those of the configuration.
@@ -44,7 +44,7 @@
     request_id: str | None = None
     timeout_us: int | None = None
     received_at: int = 0
-    lifetime: RequestLifetime = field(default=UNWATCHED, compare=False, repr=False)
+    lifetime: RequestLifetime = field(default=UNWATCHED_LIFETIME, compare=False, repr=False)
 
     @property
     def path(self) -> str:
@@ -64,7 +64,7 @@
             now: This process's clock, in µs.
         """
         started_at = self.received_at or now
-        route_deadline = started_at + route.deadline_ms * MILLI
+        route_deadline = started_at + route.deadline_ms * MILLISECOND
         if self.timeout_us is None:
             return route_deadline
         return min(route_deadline, started_at + self.timeout_us)
@@ -101,7 +101,7 @@
         byte_range: The range that the caller wants of it, or None for all.
     """
 
-    entry: Entry
+    entry: CacheEntry
     byte_range: ByteRange | None = None
 
 
@@ -125,7 +125,7 @@
     slot: int
     is_cacheable: bool
     shields: tuple[tuple[str, str], ...] = ()
-    cached_entry: Entry | None = None
+    cached_entry: CacheEntry | None = None
     attempt_limit: int = 1
     service: str = ""
     fetches_complete: bool = False
@@ -147,7 +147,7 @@
     route: Route
     slot: int
     attempt_limit: int = 1
-    cached_entry: Entry | None = None
+    cached_entry: CacheEntry | None = None
     service: str = ""
 
 
--- a/src/willowpost/proxy/routing/response_check.py
+++ b/src/willowpost/proxy/routing/response_check.py
@@ -1,7 +1,7 @@
 """Whether a response comes from the origin that a request was meant for, and means that it ran."""
 
-from willowpost.proxy.origin.answer import WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure, FailureReason
+from willowpost.proxy.origin.errors import ExchangeError, FailureReason
+from willowpost.proxy.origin.response import OriginResponse
 from willowpost.proxy.routing.attempt import MISDIRECTED_STATUS
 from willowpost.proxy.routing.header_names import HeaderNames
 from willowpost.proxy.routing.snapshot import RoutableService
@@ -19,33 +19,36 @@
     def __init__(self, header_names: HeaderNames) -> None:
         self.header_names = header_names
 
-    def check(self, response: WholeAnswer, service: RoutableService) -> None:
+    def check(self, response: OriginResponse, service: RoutableService) -> None:
         """Accepts a response of the right origin to a request that it may have run.
 
         Raises:
-            ExchangeFailure: It comes from another process, is not sealed, or says that nothing ran.
+            ExchangeError: It comes from another process, is not sealed, or says that nothing ran.
         """
         if response.status == MISDIRECTED_STATUS:
-            raise ExchangeFailure(
-                "another life answers here", sent=True, ran=False, why=FailureReason.INCARNATION
+            raise ExchangeError(
+                "another life answers here",
+                was_sent=True,
+                may_have_executed=False,
+                reason=FailureReason.INCARNATION,
             )
         if response.header(self.header_names.not_run) is not None:
-            raise ExchangeFailure(
+            raise ExchangeError(
                 f"not run: {response.status}",
-                sent=True,
-                ran=False,
-                why=FailureReason.SERVICE
+                was_sent=True,
+                may_have_executed=False,
+                reason=FailureReason.SERVICE
                 if response.status == TOO_MANY_REQUESTS_STATUS
                 else FailureReason.BUSY,
             )
         if self._lacks_seal(response, service):
-            raise ExchangeFailure("a success without a seal", sent=True)
+            raise ExchangeError("a success without a seal", was_sent=True)
 
-    def is_from_other_process(self, response: WholeAnswer, service: RoutableService) -> bool:
+    def is_from_other_process(self, response: OriginResponse, service: RoutableService) -> bool:
         """Whether another incarnation answered, or something that is no origin at all."""
         return response.status == MISDIRECTED_STATUS or self._lacks_seal(response, service)
 
-    def _lacks_seal(self, response: WholeAnswer, service: RoutableService) -> bool:
+    def _lacks_seal(self, response: OriginResponse, service: RoutableService) -> bool:
         return (
             service.requires_seal
             and 200 <= response.status < 300
--- a/src/willowpost/proxy/routing/response_processing.py
+++ b/src/willowpost/proxy/routing/response_processing.py
@@ -1,9 +1,15 @@
 """Turns the response to a repeatable request into an outcome, and stores it if the rules allow."""
 
-from willowpost.common.clock import MILLI
-from willowpost.proxy.cache.store import CacheStore, Entry
-from willowpost.proxy.cache.storing import Storing, StoringRules, first_age, whole
-from willowpost.proxy.origin.answer import WholeAnswer
+from willowpost.common.clock import MILLISECOND
+from willowpost.proxy.cache.entry import CacheEntry
+from willowpost.proxy.cache.storage_policy import (
+    StorageDecision,
+    StoragePolicy,
+    corrected_age,
+    parse_whole_number,
+)
+from willowpost.proxy.cache.store import CacheStore
+from willowpost.proxy.origin.response import OriginResponse
 from willowpost.proxy.routing.attempt_resources import AttemptResources, MonotonicClock
 from willowpost.proxy.routing.headers import CONDITIONAL_HEADERS, HOP_AGE, HOP_SLOT, end_to_end
 from willowpost.proxy.routing.outcome import FetchResult, Outcome, ResponseSource, response_of
@@ -19,7 +25,9 @@
     return entity_tag.removeprefix("W/") == other.removeprefix("W/")
 
 
-def is_unrequested_not_modified(response: WholeAnswer, request: Request, plan: FetchPlan) -> bool:
+def is_unrequested_not_modified(
+    response: OriginResponse, request: Request, plan: FetchPlan
+) -> bool:
     """Whether this is a 304 that confirms no condition sent, be it the proxy's or the caller's."""
     if response.status != NOT_MODIFIED_STATUS:
         return False
@@ -46,10 +54,10 @@
         self, cache: CacheStore, clock: MonotonicClock, resources: AttemptResources
     ) -> None:
         self.cache, self.clock, self.resources = cache, clock, resources
-        self.rules = StoringRules()
+        self.rules = StoragePolicy()
 
     def process(
-        self, request: Request, plan: FetchPlan, response: WholeAnswer, started_at: int
+        self, request: Request, plan: FetchPlan, response: OriginResponse, started_at: int
     ) -> FetchResult:
         """Returns the outcome of a response, and its stored entry if it may be shared.
 
@@ -70,7 +78,7 @@
             source = ResponseSource.MISS if plan.is_cacheable else ResponseSource.PASS
             sent_age = age if response.header("age") else None
             return FetchResult(Outcome(forwarded, source, sent_age, slot))
-        entry = Entry(
+        entry = CacheEntry(
             request.host,
             request.target,
             tuple((name, request.headers.get(name, "")) for name in storing.vary),
@@ -80,19 +88,19 @@
             self.clock.now() - age,
             storing.lifetime,
             slot,
-            storing.public,
+            storing.is_public,
             self._cache_tags(response),
         )
-        self.cache.keep(entry)
+        self.cache.store(entry)
         outcome = Outcome(forwarded, ResponseSource.MISS, age, slot)
         return FetchResult(outcome, entry if storing.lifetime > age else None)
 
-    def is_outdated(self, request: Request, plan: FetchPlan, response: WholeAnswer) -> bool:
+    def is_outdated(self, request: Request, plan: FetchPlan, response: OriginResponse) -> bool:
         """Whether a purge that is known here has hit a shield's response since it was fetched.
 
         The shield may not know of the purge: it lags, or is out of touch.
         """
-        return self.cache.purged_since(
+        return self.cache.is_purged_since(
             self._slot(plan, response), request.host, request.target, self._cache_tags(response)
         )
 
@@ -100,21 +108,21 @@
         self,
         request: Request,
         plan: FetchPlan,
-        entry: Entry,
-        response: WholeAnswer,
+        entry: CacheEntry,
+        response: OriginResponse,
         headers: HeaderTuple,
         age: int,
     ) -> FetchResult:
         """Returns the stored response of a 304, with its headers updated (RFC 9111, 3.2)."""
         updated_headers = {**dict(entry.headers), **dict(headers)}
-        storing = self.rules.judge(
+        storing = self.rules.decide(
             self._fetched_headers(request, plan),
             entry.status,
             updated_headers,
             plan.route.keep_seconds,
         )
         if storing is None:
-            self.cache.drop(entry)
+            self.cache.remove(entry)
             return FetchResult(Outcome(response_of(entry), ResponseSource.MISS))
         refreshed = self.cache.refresh(
             entry,
@@ -132,7 +140,7 @@
         )
         return FetchResult(outcome, refreshed)
 
-    def _merged_headers(self, entry: Entry, headers: HeaderTuple) -> HeaderTuple:
+    def _merged_headers(self, entry: CacheEntry, headers: HeaderTuple) -> HeaderTuple:
         """Returns the stored headers, replaced by those of the 304 that have the same name.
 
         The seal is of the complete response that is stored, not of the 304.
@@ -142,16 +150,16 @@
         updated_names = {name for name, _ in update}
         return tuple(pair for pair in entry.headers if pair[0] not in updated_names) + update
 
-    def _age(self, plan: FetchPlan, response: WholeAnswer, started_at: int) -> int:
+    def _age(self, plan: FetchPlan, response: OriginResponse, started_at: int) -> int:
         """Returns the response's age in µs (RFC 9111, 4.2.3)."""
-        hop_age = whole(response.header(HOP_AGE)) if plan.shields else None
-        return first_age(
-            response.lowered(),
+        hop_age = parse_whole_number(response.header(HOP_AGE)) if plan.shields else None
+        return corrected_age(
+            response.headers_by_name(),
             self.clock.now() - started_at,
-            None if hop_age is None else hop_age * MILLI,
+            None if hop_age is None else hop_age * MILLISECOND,
         )
 
-    def _forwarded_headers(self, response: WholeAnswer) -> HeaderTuple:
+    def _forwarded_headers(self, response: OriginResponse) -> HeaderTuple:
         names = self.resources.header_names
         dropped = ("age", names.request_id, names.load)
         forwarded = end_to_end(response.headers, names.all_names())
@@ -163,33 +171,35 @@
             return request.headers
         return {name: value for name, value in request.headers.items() if name != "range"}
 
-    def _storing(self, request: Request, plan: FetchPlan, response: WholeAnswer) -> Storing | None:
+    def _storing(
+        self, request: Request, plan: FetchPlan, response: OriginResponse
+    ) -> StorageDecision | None:
         """Returns how to store the response, or None if it must not be stored (RFC 9111, 3)."""
         if (
             not plan.is_cacheable
             or request.method != "GET"
-            or response.rest is not None
-            or not plan.route.keeps_in(self.resources.own_region)
+            or response.stream is not None
+            or not plan.route.may_cache_in(self.resources.own_region)
         ):
             return None
-        return self.rules.judge(
+        return self.rules.decide(
             self._fetched_headers(request, plan),
             response.status,
-            response.lowered(),
+            response.headers_by_name(),
             plan.route.keep_seconds,
         )
 
-    def _slot(self, plan: FetchPlan, response: WholeAnswer) -> int:
+    def _slot(self, plan: FetchPlan, response: OriginResponse) -> int:
         """Returns the least log slot known to any daemon that the fetch passed when it began."""
-        hop_slot = whole(response.header(HOP_SLOT)) if plan.shields else None
+        hop_slot = parse_whole_number(response.header(HOP_SLOT)) if plan.shields else None
         return plan.slot if hop_slot is None else min(plan.slot, hop_slot)
 
-    def _cache_tags(self, response: WholeAnswer) -> tuple[str, ...]:
+    def _cache_tags(self, response: OriginResponse) -> tuple[str, ...]:
         return tuple((response.header(self.resources.header_names.cache_tags) or "").split())
 
 
-def _with_content_length(response: WholeAnswer, headers: HeaderTuple) -> WholeAnswer:
+def _with_content_length(response: OriginResponse, headers: HeaderTuple) -> OriginResponse:
     """Returns the response as it is forwarded; Content-Length stays, as the body is not changed."""
     length = response.header("content-length")
     framing = [("content-length", length)] if length else []
-    return WholeAnswer(response.status, [*headers, *framing], response.body, response.rest)
+    return OriginResponse(response.status, [*headers, *framing], response.body, response.stream)
--- a/src/willowpost/proxy/routing/sending.py
+++ b/src/willowpost/proxy/routing/sending.py
@@ -6,9 +6,10 @@
 
 from willowpost.common.clock import SECOND
 from willowpost.proxy.origin import instance_check as instance_checks
-from willowpost.proxy.origin.answer import Echo, WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.errors import ExchangeError
 from willowpost.proxy.origin.instance_check import InstanceCheck
+from willowpost.proxy.origin.request import OriginRequest
+from willowpost.proxy.origin.response import OriginResponse, RequestIdEcho
 from willowpost.proxy.routing.attempt import LeaseExpiredError
 from willowpost.proxy.routing.attempt_resources import AttemptResources, ForwardExchange
 from willowpost.proxy.routing.headers import HeaderList
@@ -88,7 +89,7 @@
         receiver: Receiver,
         forwarded: ForwardedRequest,
         charge: Callable[[], None] = _no_charge,
-    ) -> WholeAnswer:
+    ) -> OriginResponse:
         """Sends a request and returns the response.
 
         Args:
@@ -98,9 +99,9 @@
                 RequestRejectedError.
 
         Raises:
-            ExchangeFailure: No valid response came.
+            ExchangeError: No valid response came.
             RequestRejectedError: The proxy has no lease any more, or the attempt is not granted.
-            CallerGone: Nobody waits for the response any more.
+            ClientDisconnected: Nobody waits for the response any more.
         """
         may_reuse = not forwarded.is_at_most_once
         exchange = self.io.open(
@@ -118,13 +119,13 @@
             response = self._run(exchange, receiver, forwarded)
             return response
         finally:
-            self.io.finish(receiver.owner, exchange, may_reuse, response)
+            self.io.release(receiver.owner, exchange, may_reuse, response)
 
     def _check_instance(self, exchange: ForwardExchange, receiver: Receiver, deadline: int) -> None:
-        if receiver.instance_check is not None and not exchange.reused:
-            exchange.instance_check(
+        if receiver.instance_check is not None and not exchange.is_reused:
+            exchange.check_instance(
                 receiver.instance_check,
-                min(instance_checks.SECONDS, self._remaining_seconds(deadline)),
+                min(instance_checks.TIMEOUT_SECONDS, self._remaining_seconds(deadline)),
             )
 
     def _check_before_sending(self, receiver: Receiver, request: Request) -> None:
@@ -133,21 +134,23 @@
         if not self.node_state.may_serve(self.clock.now()):
             raise LeaseExpiredError
         if not receiver.is_in_force():
-            raise ExchangeFailure("went out of force", sent=False)
+            raise ExchangeError("went out of force", was_sent=False)
 
     def _run(
         self, exchange: ForwardExchange, receiver: Receiver, forwarded: ForwardedRequest
-    ) -> WholeAnswer:
+    ) -> OriginResponse:
         request, once = forwarded.request, forwarded.is_at_most_once
         with (
             self.outgoing.sending(request, receiver.owner, once, receiver.is_in_force()),
             request.lifetime.protected() if once else nullcontext(),
         ):
             response = exchange.run(
-                request.method,
-                request.target,
-                [*forwarded.headers, CLOSE_CONNECTION] if once else forwarded.headers,
-                forwarded.body,
+                OriginRequest(
+                    request.method,
+                    request.target,
+                    [*forwarded.headers, CLOSE_CONNECTION] if once else forwarded.headers,
+                    forwarded.body,
+                ),
                 self._remaining_seconds(forwarded.deadline),
                 forwarded.plan.route.whole_max,
                 self._expected_echo(request),
@@ -157,10 +160,10 @@
             exchange.close()
         return response
 
-    def _expected_echo(self, request: Request) -> Echo | None:
+    def _expected_echo(self, request: Request) -> RequestIdEcho | None:
         if request.request_id is None:
             return None
-        return Echo(self.header_names.request_id, request.request_id)
+        return RequestIdEcho(self.header_names.request_id, request.request_id)
 
     def _remaining_seconds(self, deadline: int) -> float:
         return max(MIN_EXCHANGE_SECONDS, (deadline - self.clock.now()) / SECOND)
--- a/src/willowpost/proxy/routing/shield_attempts.py
+++ b/src/willowpost/proxy/routing/shield_attempts.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from willowpost.proxy.origin.answer import WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.errors import ExchangeError
+from willowpost.proxy.origin.response import OriginResponse
 from willowpost.proxy.routing.attempt import NOT_RUN_OUTCOME, AttemptHistory
 from willowpost.proxy.routing.attempt_resources import AttemptResources
 from willowpost.proxy.routing.headers import (
@@ -49,7 +49,7 @@
         shield: Shield,
         deadline: int,
         history: AttemptHistory,
-    ) -> WholeAnswer:
+    ) -> OriginResponse:
         """Sends the request to a shield.
 
         Args:
@@ -60,31 +60,31 @@
             history: The attempts made so far; updated.
 
         Raises:
-            ExchangeFailure: No valid response came, or the shield refused for a reason of its own.
+            ExchangeError: No valid response came, or the shield refused for a reason of its own.
             RequestRejectedError: The proxy has no lease any more.
-            CallerGone: Nobody waits for the response any more.
+            ClientDisconnected: Nobody waits for the response any more.
         """
         clock, selector = self.resources.clock, self.resources.origin_selector
         forwarded = self._forwarded(request, plan, deadline, history)
         started_at = clock.now()
-        ticket = selector.began(shield.name, started_at)
+        ticket = selector.record_start(shield.name, started_at)
         try:
             response = self.sender.send(self._receiver(shield), forwarded)
-        except ExchangeFailure as failure:
+        except ExchangeError as failure:
             selector.eject(shield.name, clock.now())
-            history.may_have_reached_origin |= failure.sent
+            history.may_have_reached_origin |= failure.was_sent
             raise
         finally:
-            selector.ended(shield.name, ticket)
+            selector.record_end(shield.name, ticket)
         now = clock.now()
-        selector.answered(shield.name, now - started_at, None, now)
+        selector.record_response(shield.name, now - started_at, None, now)
         refusal = response.header(HOP_REJECT)
         history.may_have_reached_origin |= refusal != NOT_RUN_OUTCOME
         if refusal is not None and response.status < SERVER_ERROR_STATUS:
             # Its tables differ from those that this request was planned by.
-            raise ExchangeFailure(
+            raise ExchangeError(
                 f"shield {shield.name} refused: {response.status}",
-                sent=history.may_have_reached_origin,
+                was_sent=history.may_have_reached_origin,
             )
         return response
 
--- a/src/willowpost/proxy/status_page.py
+++ b/src/willowpost/proxy/status_page.py
@@ -3,8 +3,8 @@
 import json
 from collections import Counter
 
-from willowpost.common.clock import MILLI, Clock
-from willowpost.proxy.caller.response import ClientResponse
+from willowpost.common.clock import MILLISECOND, Clock
+from willowpost.proxy.client.response import ClientResponse
 from willowpost.proxy.outgoing import OutgoingRequests
 from willowpost.proxy.proxy_state import ProxyState
 
@@ -60,20 +60,20 @@
         return (
             node_state.may_serve(now)
             and not node_state.is_draining
-            and node_state.emptied_at is None
-            and node_state.warmed_up(now)
+            and node_state.evacuated_at is None
+            and node_state.is_warmed_up(now)
         )
 
     def _health(self, is_healthy: bool, now: int) -> dict[str, object]:
         node_state = self._node_state
-        age = node_state.age(now)
+        age = node_state.tables_age(now)
         return {
             "sound": is_healthy,
             "draining": node_state.is_draining,
-            "emptied": node_state.emptied_at is not None,
+            "emptied": node_state.evacuated_at is not None,
             "slot": node_state.tables.slot,
             "version": node_state.snapshot.version,
-            "age_ms": None if age is None else age // MILLI,
+            "age_ms": None if age is None else age // MILLISECOND,
         }
 
     def _statistics(self, in_flight: int) -> dict[str, object]:
--- a/src/willowpost/registry/api/configurations.py
+++ b/src/willowpost/registry/api/configurations.py
@@ -6,7 +6,7 @@
 from pydantic import Field, ValidationError
 from result import Err, Ok, Result
 
-from willowpost.configuration.checker import BYTES_MOST, ConfigurationChecker
+from willowpost.configuration.checker import MAX_CONFIGURATION_BYTES, ConfigurationChecker
 from willowpost.node.node_state import NodeState
 from willowpost.registry.api.configuration_responses import (
     change_accepted,
@@ -27,8 +27,8 @@
     quorum_read_failed,
 )
 from willowpost.registry.api.route import Route
-from willowpost.shell.settings import findings_of
-from willowpost.shell.web import Answer, Call
+from willowpost.shell.validation import validation_issues
+from willowpost.shell.web import Request, Response
 from willowpost.state.configuration_changes import (
     MAX_VERSION,
     ConfigurationProposal,
@@ -78,9 +78,9 @@
         """Return the routes of this group."""
         return (
             Route("GET", "/v1/configuration", 0, self._show),
-            Route("PUT", "/v1/configuration", BYTES_MOST, self._replace),
+            Route("PUT", "/v1/configuration", MAX_CONFIGURATION_BYTES, self._replace),
             Route("POST", "/v1/configurations", MAX_NUMBERED_BYTES, self._replace_by_number),
-            Route("POST", "/v1/configuration/plan", BYTES_MOST, self._plan),
+            Route("POST", "/v1/configuration/plan", MAX_CONFIGURATION_BYTES, self._plan),
             Route("PATCH", "/v1/configuration", MAX_PATCH_BYTES, self._patch),
             Route("POST", "/v1/configuration/patch/plan", MAX_PATCH_BYTES, self._plan_patch),
         )
@@ -90,18 +90,18 @@
         """The node's shared state."""
         return self.log_client.node_state
 
-    def _show(self, call: Call) -> Answer:
+    def _show(self, call: Request) -> Response:
         if not self.log_client.quorum_read(self.log_client.deadline_for(call)):
             return quorum_read_failed()
         active = self.node_state.tables.configuration
         source = {"source": active.source} if active.source is not None else {}
-        return Answer(
+        return Response(
             200,
             {"version": active.version, "configuration": active.tree, **source},
             version_tag(active.version),
         )
 
-    def _replace(self, call: Call) -> Answer:
+    def _replace(self, call: Request) -> Response:
         deadline = self.log_client.deadline_for(call)
         required = Preconditions.read(call.headers)
         if required.is_err():
@@ -118,7 +118,7 @@
         )
         return self._propose(proposal, deadline)
 
-    def _propose(self, proposal: ConfigurationProposal, deadline: int) -> Answer:
+    def _propose(self, proposal: ConfigurationProposal, deadline: int) -> Response:
         """Have the log decide on the proposal; a repeat is acknowledged as the first was.
 
         One that replaces whatever is in force is fenced, so that one delayed by a network partition
@@ -131,7 +131,7 @@
             on_rejected=change_rejected,
         )
 
-    def _replace_by_number(self, call: Call) -> Answer:
+    def _replace_by_number(self, call: Request) -> Response:
         """Propose a configuration that the operator numbered; the highest number is in force.
 
         A number that is not above it is acknowledged as well, unless it is known to name other
@@ -157,7 +157,7 @@
         try:
             numbered = NumberedConfiguration.model_validate(read.unwrap())
         except ValidationError as error:
-            return Err(issues_from_json(findings_of(error)))
+            return Err(issues_from_json(validation_issues(error)))
         checked = self.checker.check_value(numbered.configuration)
         if checked.is_err():
             issues = issues_from_json(checked.unwrap_err())
@@ -172,18 +172,18 @@
             )
         )
 
-    def _plan(self, call: Call) -> Answer:
+    def _plan(self, call: Request) -> Response:
         checked = self.checker.check(call.body)
         if checked.is_err():
             return invalid_body(issues_from_json(checked.unwrap_err()))
         return self._show_plan(checked.unwrap())
 
-    def _show_plan(self, tree: dict[str, Any]) -> Answer:
+    def _show_plan(self, tree: dict[str, Any]) -> Response:
         if not self.log_client.quorum_read():
             return quorum_read_failed()
-        return Answer(200, {"plan": ConfigurationPlanner().plan(self.node_state.tables, tree)})
+        return Response(200, {"plan": ConfigurationPlanner().plan(self.node_state.tables, tree)})
 
-    def _patch(self, call: Call) -> Answer:
+    def _patch(self, call: Request) -> Response:
         """Propose the patched tree, only against the version it was made from.
 
         A patch that was accepted before is recognised by its digest and its `If-Match`, or by its
@@ -217,7 +217,7 @@
         )
         return self._propose(proposal, deadline)
 
-    def _plan_patch(self, call: Call) -> Answer:
+    def _plan_patch(self, call: Request) -> Response:
         read = self._read_patch(call, self.log_client.deadline_for(call))
         if read.is_err():
             return read.unwrap_err()
@@ -232,7 +232,7 @@
             return invalid_body(patched.unwrap_err())
         return self._show_plan(patched.unwrap())
 
-    def _read_patch(self, call: Call, deadline: int) -> Result[PatchRequest, Answer]:
+    def _read_patch(self, call: Request, deadline: int) -> Result[PatchRequest, Response]:
         """Return the patch and its conditions, after a successful quorum read."""
         required = Preconditions.read(call.headers)
         if required.is_err():
--- a/src/willowpost/registry/api/log_client.py
+++ b/src/willowpost/registry/api/log_client.py
@@ -20,7 +20,7 @@
     rejection,
     superseded,
 )
-from willowpost.shell.web import Answer, Call
+from willowpost.shell.web import Request, Response
 from willowpost.state.codec import OPERATION_NAMES
 from willowpost.state.operations import Operation
 from willowpost.state.results import Reason, Rejected, Result
@@ -129,7 +129,7 @@
         """Whether a quorum confirmed the tables lately (`NodeState.is_in_touch`)."""
         return self.node_state.is_in_touch(self.now())
 
-    def deadline_for(self, call: Call) -> int:
+    def deadline_for(self, call: Request) -> int:
         """Return when a call that has just come must be answered; µs, own clock."""
         extra_bytes = max(0, len(call.body) - LARGE_BODY_BYTES)
         timeout = CALL_TIMEOUT_US + extra_bytes * TIMEOUT_US_PER_BYTE
@@ -139,10 +139,10 @@
         self,
         build: OperationBuilder,
         deadline: int,
-        on_accepted: Callable[[Any, int], Answer],
-        on_rejected: Callable[[Rejected], Answer] | None = None,
+        on_accepted: Callable[[Any, int], Response],
+        on_rejected: Callable[[Rejected], Response] | None = None,
         wait_for_tables: bool = True,
-    ) -> Answer:
+    ) -> Response:
         """Have one operation accepted by the log and make the response to the call.
 
         Args:
@@ -176,8 +176,8 @@
         self,
         batches: Sequence[Sequence[Operation]],
         deadline: int,
-        on_accepted: Callable[[int], Answer],
-    ) -> Answer:
+        on_accepted: Callable[[int], Response],
+    ) -> Response:
         """Have several batches accepted, in any order, and make one response.
 
         Args:
@@ -232,7 +232,7 @@
         if remaining_us <= 0:
             return None
         operations = tuple(build(self.node_state.tables) for build in builders)
-        outcome = self.runner.ask(*operations, timeout=remaining_us / SECOND)
+        outcome = self.runner.submit(*operations, timeout=remaining_us / SECOND)
         if outcome is None or outcome.results is None:
             return None
         return Outcome(outcome.slot, operations, outcome.results)
@@ -255,5 +255,5 @@
     return lambda tables: operation
 
 
-def _conflict(operation: Operation, rejected: Rejected) -> Answer:
+def _conflict(operation: Operation, rejected: Rejected) -> Response:
     return rejection(409, ValidationIssue(OPERATION_NAMES[type(operation)], rejected.reason))
--- a/src/willowpost/registry/api/monitoring.py
+++ b/src/willowpost/registry/api/monitoring.py
@@ -3,7 +3,7 @@
 from willowpost.registry.api.log_client import LogClient
 from willowpost.registry.api.route import Route
 from willowpost.registry.status import StatusPage
-from willowpost.shell.web import Answer, Call, reject
+from willowpost.shell.web import Request, Response, reject
 
 
 class MonitoringRoutes:
@@ -23,15 +23,15 @@
             Route("GET", "/v1/health", 0, self._show_health),
         )
 
-    def _show_status(self, call: Call) -> Answer:
+    def _show_status(self, call: Request) -> Response:
         node, now = self.log_client.runner.node, self.log_client.now()
         is_in_touch = self.log_client.is_in_touch()
-        return Answer(200, {**self.page.make(node, now), "in_touch": is_in_touch})
+        return Response(200, {**self.page.make(node, now), "in_touch": is_in_touch})
 
-    def _show_health(self, call: Call) -> Answer:
+    def _show_health(self, call: Request) -> Response:
         node_state = self.log_client.node_state
         if node_state.is_draining:
             return reject(503, "draining")
         if not node_state.may_serve(self.log_client.now()):
             return reject(503, "no fresh state updates from the core")
-        return Answer(200, {"sound": True})
+        return Response(200, {"sound": True})
--- a/src/willowpost/registry/api/origin_requests.py
+++ b/src/willowpost/registry/api/origin_requests.py
@@ -4,7 +4,7 @@
 
 from pydantic import Field, model_validator
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.configuration.model import Name
 from willowpost.registry.api.request_body import RequestBody
 from willowpost.registry.origin_health import HeartbeatReceived
@@ -89,7 +89,7 @@
 
     def as_heartbeat(self, origin: str) -> HeartbeatReceived:
         """Return the heartbeat of a registered origin, by its name in the tables."""
-        warm_up_us = 0 if self.cold_ms is None else int(self.cold_ms * MILLI)
+        warm_up_us = 0 if self.cold_ms is None else int(self.cold_ms * MILLISECOND)
         return HeartbeatReceived(
             OriginHeartbeat(origin, self.load, warm_up_us, self.slots or 0, self.number),
             reports_warm_up=self.cold_ms is not None,
