--- a/src/willowpost/registry/api/origins.py
+++ b/src/willowpost/registry/api/origins.py
@@ -11,7 +11,7 @@
 )
 from willowpost.registry.api.route import Route
 from willowpost.registry.origin_lookup import find_incarnation, find_origin
-from willowpost.shell.web import Answer, Call
+from willowpost.shell.web import Request, Response
 from willowpost.state.apply.origins import origin_with_token
 from willowpost.state.lifecycle import OriginState
 from willowpost.state.operations import ChangeOriginState, EndOrigin
@@ -46,7 +46,7 @@
         """The tables as far as this registry has followed the log."""
         return self.log_client.node_state.tables
 
-    def _register(self, call: Call) -> Answer:
+    def _register(self, call: Request) -> Response:
         deadline = self.log_client.deadline_for(call)
         parsed = parse_body(OriginReport, call.body)
         if parsed.is_err():
@@ -57,7 +57,7 @@
             lambda result, slot: _registered(201, result, slot),
         )
 
-    def _receive_heartbeat(self, call: Call) -> Answer:
+    def _receive_heartbeat(self, call: Request) -> Response:
         """Take a heartbeat; that of an unknown incarnation registers it."""
         deadline = self.log_client.deadline_for(call)
         parsed = parse_body(OriginReport, call.body)
@@ -87,7 +87,7 @@
             return find_incarnation(self.tables, report.address, report.service, report.token)
         return name
 
-    def _acknowledge_heartbeat(self, name: str, state: str, report: OriginReport) -> Answer:
+    def _acknowledge_heartbeat(self, name: str, state: str, report: OriginReport) -> Response:
         """Record and pass on a known incarnation's heartbeat.
 
         It is acknowledged only while this registry is in touch: otherwise the registries that judge
@@ -97,9 +97,9 @@
         # That it drains is in the log: so much is true whatever has happened since.
         if state != DRAINING and not self.log_client.is_in_touch():
             return out_of_touch()
-        return Answer(200, {"origin": name, "state": state})
+        return Response(200, {"origin": name, "state": state})
 
-    def _register_from_heartbeat(self, report: OriginReport, deadline: int) -> Answer:
+    def _register_from_heartbeat(self, report: OriginReport, deadline: int) -> Response:
         """Register an incarnation, or record that it drains.
 
         One with a token is registered once, whoever submits it: no read before, no wait after.
@@ -113,13 +113,13 @@
             wait_for_tables=report.token is None,
         )
 
-    def _drain(self, call: Call) -> Answer:
+    def _drain(self, call: Request) -> Response:
         return self._end_service(call, DRAINING)
 
-    def _leave(self, call: Call) -> Answer:
+    def _leave(self, call: Request) -> Response:
         return self._end_service(call, GONE)
 
-    def _end_service(self, call: Call, state: str) -> Answer:
+    def _end_service(self, call: Request, state: str) -> Response:
         """Drain or end an origin.
 
         An incarnation that drains or has ended stays so, so a late call undoes nothing.
@@ -141,7 +141,7 @@
             return _unknown_origin("address")
         return self._change_state(ChangeOriginState(state, name), deadline, name)
 
-    def _end_service_of_token(self, token: str, state: str, deadline: int) -> Answer:
+    def _end_service_of_token(self, token: str, state: str, deadline: int) -> Response:
         operation = EndOrigin(token) if state == GONE else ChangeOriginState(state, token=token)
         name = origin_with_token(self.tables, token)
         return self._change_state(operation, deadline, name, wait_for_tables=False)
@@ -152,11 +152,11 @@
         deadline: int,
         name: str | None,
         wait_for_tables: bool = True,
-    ) -> Answer:
-        def state_changed(result: StateAccepted | OriginAccepted, slot: int) -> Answer:
-            return Answer(200, {"origin": name, "state": result.state, "slot": slot})
+    ) -> Response:
+        def state_changed(result: StateAccepted | OriginAccepted, slot: int) -> Response:
+            return Response(200, {"origin": name, "state": result.state, "slot": slot})
 
-        def change_rejected(result: Rejected) -> Answer:
+        def change_rejected(result: Rejected) -> Response:
             if operation.token is not None:
                 return _unknown_origin("token")
             return _origin_rejected(result)
@@ -166,23 +166,23 @@
         )
 
 
-def _registered(code: int, result: OriginAccepted, slot: int) -> Answer:
-    return Answer(code, {"origin": result.origin, "state": result.state, "slot": slot})
+def _registered(code: int, result: OriginAccepted, slot: int) -> Response:
+    return Response(code, {"origin": result.origin, "state": result.state, "slot": slot})
 
 
-def _registration_rejected(result: Rejected) -> Answer:
+def _registration_rejected(result: Rejected) -> Response:
     if result.reason == Reason.INCARNATION_ENDED:
         return _incarnation_ended()
     return _origin_rejected(result)
 
 
-def _incarnation_ended() -> Answer:
-    return Answer(200, {"origin": None, "state": GONE})
+def _incarnation_ended() -> Response:
+    return Response(200, {"origin": None, "state": GONE})
 
 
-def _unknown_origin(location: str) -> Answer:
+def _unknown_origin(location: str) -> Response:
     return rejection(404, ValidationIssue(location, "no such origin"))
 
 
-def _origin_rejected(result: Rejected) -> Answer:
+def _origin_rejected(result: Rejected) -> Response:
     return rejection(409, ValidationIssue("origin", result.reason))
--- a/src/willowpost/registry/api/preconditions.py
+++ b/src/willowpost/registry/api/preconditions.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from willowpost.registry.api.responses import ValidationIssue, invalid_body, rejection
-from willowpost.shell.web import Answer
+from willowpost.shell.web import Response
 from willowpost.state.configuration_changes import MAX_VERSION, digest_of
 
 VERSION_TAG = re.compile(r'("?)([0-9]{1,19})\1')
@@ -29,7 +29,7 @@
     key: str | None = None
 
     @classmethod
-    def read(cls, headers: Mapping[str, str]) -> Result[Self, Answer]:
+    def read(cls, headers: Mapping[str, str]) -> Result[Self, Response]:
         """Read the headers (names in lower case); an error is the response to the request."""
         required_tag = headers.get("if-match", ANY_VERSION).strip()
         tag = VERSION_TAG.fullmatch(required_tag)
--- a/src/willowpost/registry/api/proposal_encoder.py
+++ b/src/willowpost/registry/api/proposal_encoder.py
@@ -54,7 +54,7 @@
         delta = ConfigurationDelta.between(
             active.tree, active.source, proposal.tree, proposal.source
         )
-        return delta if delta.size() <= MAX_DELTA_FRACTION * self._proposal_size() else None
+        return delta if delta.size_bytes() <= MAX_DELTA_FRACTION * self._proposal_size() else None
 
     def _proposal_size(self) -> int:
         """Return the size in characters of the tree and its source as JSON."""
--- a/src/willowpost/registry/api/purges.py
+++ b/src/willowpost/registry/api/purges.py
@@ -8,7 +8,7 @@
 from willowpost.registry.api.log_client import LogClient
 from willowpost.registry.api.request_body import RequestBody, parse_body
 from willowpost.registry.api.route import Route
-from willowpost.shell.web import Answer, Call
+from willowpost.shell.web import Request, Response
 from willowpost.state.operations import PurgeCache
 
 MAX_PURGE_BODY_BYTES = 1024 * 1024
@@ -61,7 +61,7 @@
         """Return the routes of this group."""
         return (Route("POST", "/v1/purges", MAX_PURGE_BODY_BYTES, self._purge),)
 
-    def _purge(self, call: Call) -> Answer:
+    def _purge(self, call: Request) -> Response:
         """Purge items; one that takes effect late drops cached responses again, nothing else."""
         deadline = self.log_client.deadline_for(call)
         parsed = parse_body(PurgeRequest, call.body)
@@ -74,5 +74,5 @@
                 for start in range(0, len(operations), ITEMS_PER_BATCH)
             ],
             deadline,
-            lambda slot: Answer(200, {"purged": len(operations), "slot": slot}),
+            lambda slot: Response(200, {"purged": len(operations), "slot": slot}),
         )
--- a/src/willowpost/registry/api/request_body.py
+++ b/src/willowpost/registry/api/request_body.py
@@ -6,8 +6,8 @@
 from result import Err, Ok, Result
 
 from willowpost.registry.api.responses import invalid_body, issues_from_json
-from willowpost.shell.settings import findings_of
-from willowpost.shell.web import Answer
+from willowpost.shell.validation import validation_issues
+from willowpost.shell.web import Response
 
 SMALL_BODY_BYTES = 64 * 1024  # limit of the calls that carry no documents
 Body = TypeVar("Body", bound="RequestBody")
@@ -19,9 +19,9 @@
     model_config = ConfigDict(extra="forbid")
 
 
-def parse_body(model: type[Body], body: bytes) -> Result[Body, Answer]:
+def parse_body(model: type[Body], body: bytes) -> Result[Body, Response]:
     """Return the body as a `model`, or the response (422) that names all its issues."""
     try:
         return Ok(model.model_validate_json(body))
     except ValidationError as error:
-        return Err(invalid_body(issues_from_json(findings_of(error))))
+        return Err(invalid_body(issues_from_json(validation_issues(error))))
--- a/src/willowpost/registry/api/responses.py
+++ b/src/willowpost/registry/api/responses.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from willowpost.shell.web import Answer, reject
+from willowpost.shell.web import Response, reject
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     return [ValidationIssue(finding["place"], finding["finding"]) for finding in findings]
 
 
-def rejection(code: int, *issues: ValidationIssue, **members: object) -> Answer:
+def rejection(code: int, *issues: ValidationIssue, **members: object) -> Response:
     """Return the response to a request that is rejected for these issues.
 
     Args:
@@ -36,29 +36,29 @@
         issues: what is wrong.
         members: further members of the body.
     """
-    return Answer(code, {"findings": [issue.as_json() for issue in issues], **members})
+    return Response(code, {"findings": [issue.as_json() for issue in issues], **members})
 
 
-def invalid_body(issues: Iterable[ValidationIssue]) -> Answer:
+def invalid_body(issues: Iterable[ValidationIssue]) -> Response:
     """Return the response (422) to a body that can be parsed but is not valid."""
     return rejection(422, *issues)
 
 
-def outcome_unknown() -> Answer:
+def outcome_unknown() -> Response:
     """Return the response (504) if it is not known in time whether the log accepts an operation."""
     return reject(504, "not known in time whether it was accepted", outcome="unknown")
 
 
-def out_of_touch() -> Answer:
+def out_of_touch() -> Response:
     """Return the response (503) if nothing was submitted; another registry may be in touch."""
     return reject(503, "out of touch with the core", outcome="not-run")
 
 
-def superseded() -> Answer:
+def superseded() -> Response:
     """Return the response (503) if the log rejected the operation; it never takes effect."""
     return reject(503, "superseded while it was under way", outcome="not-run")
 
 
-def quorum_read_failed() -> Answer:
+def quorum_read_failed() -> Response:
     """Return the response (503) if a quorum read did not succeed in time."""
     return reject(503, "no quorum read in time", outcome="not-run")
--- a/src/willowpost/registry/api/route.py
+++ b/src/willowpost/registry/api/route.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from willowpost.shell.web import Answer, Call
+from willowpost.shell.web import Request, Response
 
 
 class Route(NamedTuple):
@@ -19,4 +19,4 @@
     method: str
     path: str
     body_limit_bytes: int
-    handler: Callable[[Call], Answer]
+    handler: Callable[[Request], Response]
--- a/src/willowpost/registry/api/zones.py
+++ b/src/willowpost/registry/api/zones.py
@@ -6,7 +6,7 @@
 from willowpost.registry.api.request_body import SMALL_BODY_BYTES, RequestBody, parse_body
 from willowpost.registry.api.responses import quorum_read_failed
 from willowpost.registry.api.route import Route
-from willowpost.shell.web import Answer, Call
+from willowpost.shell.web import Request, Response
 from willowpost.state.operations import EvacuateZone
 from willowpost.toolbox.planner import ZonePlanner
 
@@ -31,19 +31,19 @@
             Route("POST", "/v1/zones/*/restore", SMALL_BODY_BYTES, self._restore),
         )
 
-    def _plan(self, call: Call) -> Answer:
+    def _plan(self, call: Request) -> Response:
         if not self.log_client.quorum_read(self.log_client.deadline_for(call)):
             return quorum_read_failed()
         plan = ZonePlanner().plan(self.log_client.node_state.tables, call.params[0])
-        return Answer(200, {"plan": plan})
+        return Response(200, {"plan": plan})
 
-    def _evacuate(self, call: Call) -> Answer:
+    def _evacuate(self, call: Request) -> Response:
         return self._submit_order(call, is_evacuated=True)
 
-    def _restore(self, call: Call) -> Answer:
+    def _restore(self, call: Request) -> Response:
         return self._submit_order(call, is_evacuated=False)
 
-    def _submit_order(self, call: Call, is_evacuated: bool) -> Answer:
+    def _submit_order(self, call: Request, is_evacuated: bool) -> Response:
         """Evacuate or restore a zone; fenced, so that a late order undoes no newer one."""
         deadline = self.log_client.deadline_for(call)
         parsed = parse_body(ZoneRequest, call.body.strip() or b"{}")
@@ -55,7 +55,7 @@
         return self.log_client.submit(
             lambda tables: EvacuateZone(zone, is_evacuated, scope, known_slot=tables.slot),
             deadline,
-            lambda result, slot: Answer(
+            lambda result, slot: Response(
                 200, {"zone": zone, "empty": is_evacuated, **shown_scope, "slot": slot}
             ),
         )
--- a/src/willowpost/registry/daemon.py
+++ b/src/willowpost/registry/daemon.py
@@ -8,9 +8,10 @@
 from willowpost.registry.health_checker import HealthChecker
 from willowpost.registry.node import RegistryNode
 from willowpost.shell.process_settings import ProcessSettings
+from willowpost.shell.router import Router
 from willowpost.shell.runner import Runner
 from willowpost.shell.structured_log import StructuredLogger
-from willowpost.shell.web import CountingHandler, Router, WebServer
+from willowpost.shell.web_server import CountingHandler, WebServer
 from willowpost.state.entries import DaemonDescriptor
 
 
@@ -50,7 +51,7 @@
             logger,
             lambda: self.node.node_state.is_draining,
         )
-        self.node.shutdown.spans = settings.spans()
+        self.node.shutdown.timeouts = settings.shutdown_timeouts()
         self.node.shutdown.in_flight = lambda: router.in_flight
         self.web = WebServer(settings.http, router, CountingHandler)
 
@@ -61,4 +62,4 @@
 
     def stop(self) -> None:
         """End as planned (`node/graceful_shutdown.py`); returns when the process may end."""
-        self.runner.leave(self.web.server.close)
+        self.runner.shut_down(self.web.server.close)
--- a/src/willowpost/registry/health_checker.py
+++ b/src/willowpost/registry/health_checker.py
@@ -3,7 +3,7 @@
 import gevent
 
 from willowpost.registry.origin_health import HealthCheckFinished
-from willowpost.shell.probe import probe_status
+from willowpost.shell.health_check import fetch_status
 from willowpost.shell.runner import Runner
 
 TIMEOUT_SECONDS = 1.0
@@ -31,6 +31,6 @@
         gevent.spawn(self._check, origin, address, path)
 
     def _check(self, origin: str, address: str, path: str | None) -> None:
-        status = probe_status(address, path or DEFAULT_PATH, TIMEOUT_SECONDS)
+        status = fetch_status(address, path or DEFAULT_PATH, TIMEOUT_SECONDS)
         is_healthy = status is not None and status < FIRST_UNHEALTHY_STATUS
         self.runner.inbox.put(HealthCheckFinished(origin, is_healthy))
--- a/src/willowpost/registry/main.py
+++ b/src/willowpost/registry/main.py
@@ -1,6 +1,6 @@
 """The command `wpregistry`."""
 
-import willowpost.shell.starting  # noqa: F401  before what takes long to import
+import willowpost.shell.startup_signals  # noqa: F401  before what takes long to import
 from willowpost.registry.daemon import RegistryDaemon
 from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.program import DaemonCommand, run
@@ -21,7 +21,7 @@
   <info>wpregistry --name core-1 --zone a --address 127.0.0.1:7101 \
 --http 127.0.0.1:8101 --seeds 127.0.0.1:7001,127.0.0.1:7002</info>
   <info>curl http://127.0.0.1:8101/v1/status</info>"""
-    needs = ("http",)
+    required_settings = ("http",)
 
     def build(self, settings: ProcessSettings, logger: StructuredLogger) -> RegistryDaemon:
         """Make the daemon of checked settings."""
--- a/src/willowpost/registry/node.py
+++ b/src/willowpost/registry/node.py
@@ -39,7 +39,7 @@
         )
         self.fleet_join = FleetJoin(descriptor, self._tables, self.command_client)
         self.shutdown = GracefulShutdown(self.node_state, self.command_client, self.fleet_join)
-        follower = Follower(self.node_state, seeds, tree=False)
+        follower = Follower(self.node_state, seeds, may_poll_proxies=False)
         self.controllers: list[Controller] = [
             follower,
             QuorumRead(self.node_state, follower),
--- a/src/willowpost/registry/origin_health.py
+++ b/src/willowpost/registry/origin_health.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.common.rendezvous import Rendezvous
@@ -19,9 +19,9 @@
 from willowpost.state.operations import ChangeOriginState
 from willowpost.wire.messages import OriginHeartbeat
 
-CHECK_INTERVAL_US = 100 * MILLI
+CHECK_INTERVAL_US = 100 * MILLISECOND
 # Longer than any lease plus the grace of a request in flight.
-ENTER_DELAY_US = 2_500 * MILLI
+ENTER_DELAY_US = 2_500 * MILLISECOND
 PROPOSAL_INTERVAL_US = 1 * SECOND
 # Proposed anew as long as it holds: it must not be applied long after it ceased to hold.
 PROPOSAL_LIFETIME_US = 2 * SECOND
@@ -122,14 +122,14 @@
     def _is_stale(self, heartbeat: OriginHeartbeat) -> bool:
         record = self.records.get(heartbeat.origin)
         last_number = 0 if record is None else record.heartbeat_number
-        return last_number > 0 and heartbeat.number <= last_number
+        return last_number > 0 and heartbeat.heartbeat_number <= last_number
 
     def _record_heartbeat(self, heartbeat: OriginHeartbeat, now: int) -> None:
         record = self._record(heartbeat.origin)
         record.last_seen_at = now
         record.failed_health_checks = 0
-        if heartbeat.number:
-            record.heartbeat_number = heartbeat.number
+        if heartbeat.heartbeat_number:
+            record.heartbeat_number = heartbeat.heartbeat_number
 
     def _record_health_check(self, finished: HealthCheckFinished, now: int) -> None:
         record = self._record(finished.origin)
@@ -146,7 +146,7 @@
         for address in self._heartbeat_receivers():
             plan.send(address, heartbeat)
         origin = self.node_state.tables.origins.get(heartbeat.origin)
-        reported = OriginState.WARMING_UP if heartbeat.cold else OriginState.WARM
+        reported = OriginState.WARMING_UP if heartbeat.warm_up_us else OriginState.WARM
         if not received.reports_warm_up or origin is None:
             return
         if origin.is_in_force and origin.state != reported:
@@ -170,8 +170,8 @@
         return ChangeOriginState(
             state,
             heartbeat.origin,
-            heartbeat_number=heartbeat.number or None,
-            known_slot=None if heartbeat.cold else self.node_state.tables.slot,
+            heartbeat_number=heartbeat.heartbeat_number or None,
+            known_slot=None if heartbeat.warm_up_us else self.node_state.tables.slot,
             reports_warm_up=True,
         )
 
--- a/src/willowpost/registry/status.py
+++ b/src/willowpost/registry/status.py
@@ -80,7 +80,7 @@
 
 def _registry_section(node_state: NodeState, now: int) -> Section:
     """Return which registry made the page, and from which tables."""
-    age_us = node_state.age(now)
+    age_us = node_state.tables_age(now)
     return {
         "registry": node_state.descriptor.id,
         "age_ms": None if age_us is None else age_us // 1000,
--- a/src/willowpost/shell/process_settings.py
+++ b/src/willowpost/shell/process_settings.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from willowpost.common.clock import MILLISECOND
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.node.graceful_shutdown import ShutdownTimeouts
 from willowpost.store.graceful_shutdown import StoreShutdownTimeouts
 
--- a/src/willowpost/shell/runner.py
+++ b/src/willowpost/shell/runner.py
@@ -11,7 +11,7 @@
 from willowpost.common.clock import SECOND, Clock
 from willowpost.common.events import SubmitOperations, Tick, WithdrawSubmission
 from willowpost.common.plan import Plan
-from willowpost.node.graceful_shutdown import ShutdownRequested, Stage
+from willowpost.node.graceful_shutdown import ShutdownRequested, ShutdownStage
 from willowpost.shell.mesh import Mesh
 from willowpost.shell.retrying_disk import RecordWriter
 from willowpost.shell.sized_queue import create_inbox
@@ -21,7 +21,7 @@
 TICK_US = int(TICK_SECONDS * SECOND)
 EXIT_INTERNAL_ERROR = 70  # EX_SOFTWARE of sysexits.h
 SUBMIT_TIMEOUT_SECONDS = 2.0
-STAGES = tuple(Stage)
+STAGES = tuple(ShutdownStage)
 
 
 class Node(Protocol):
@@ -120,11 +120,11 @@
             close: called when the process should accept nothing new.
         """
         self.inbox.put(ShutdownRequested())
-        self._wait_for_stage(Stage.FINISHING)
+        self._wait_for_stage(ShutdownStage.FINISHING)
         close()
-        self._wait_for_stage(Stage.GONE)
+        self._wait_for_stage(ShutdownStage.STOPPED)
 
-    def _wait_for_stage(self, stage: Stage) -> None:
+    def _wait_for_stage(self, stage: ShutdownStage) -> None:
         while STAGES.index(self.node.shutdown.stage) < STAGES.index(stage):
             gevent.sleep(TICK_SECONDS)
 
--- a/src/willowpost/shell/settings.py
+++ b/src/willowpost/shell/settings.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from willowpost.common.clock import MILLISECOND
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.validation import validation_issues
 from willowpost.shell.validation_issue import ValidationIssue
--- a/src/willowpost/sim/core.py
+++ b/src/willowpost/sim/core.py
@@ -5,13 +5,13 @@
 from willowpost.common.events import SubmitOperations
 from willowpost.consensus.replica.bootstrap import VoterPolicy
 from willowpost.consensus.replica.records import identity_record
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.command_client import CommandClient
 from willowpost.sim.rules import CoreRules
 from willowpost.sim.world import World, seconds
 from willowpost.state.codec import MEMBER
-from willowpost.store.node import StoreNode
+from willowpost.store.node import StoreNode, StoreOptions
 from willowpost.wire.messages import Member
 
 ZONES = ("a", "a", "b", "b", "c")
@@ -99,16 +99,18 @@
                 and (is_first_start or not self.rights.bootstrap_from_seeds),
             )
             return StoreNode(
-                me,
-                self.seeds_of_stores(),
-                size,
+                StoreOptions(
+                    member=me,
+                    seeds=tuple(self.seeds_of_stores()),
+                    bootstrap_voters=size,
+                    incarnation=incarnation,
+                    tuning=self.pace,
+                    thresholds=self.thresholds,
+                    voter_policy=rights,
+                ),
                 records,
                 now,
                 wall,
-                incarnation,
-                self.pace,
-                self.thresholds,
-                rights=rights,
             )
 
         return self.add(address, build, region)
--- a/src/willowpost/sim/disk.py
+++ b/src/willowpost/sim/disk.py
@@ -8,9 +8,9 @@
 import random
 from dataclasses import dataclass, field
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 
-SYNC_SPAN = 3 * MILLI  # of a write on a sound disk, as far as a slow one multiplies it
+SYNC_SPAN = 3 * MILLISECOND  # of a write on a sound disk, as far as a slow one multiplies it
 
 
 @dataclass(slots=True)
--- a/src/willowpost/sim/fleet/bounded_faults.py
+++ b/src/willowpost/sim/fleet/bounded_faults.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from itertools import permutations
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.sim.fleet.faults.bounded import BoundedFaultKinds
 from willowpost.sim.fleet.shape import shipped
 from willowpost.sim.fleet.world import FleetWorld
@@ -65,7 +65,7 @@
     ):
         self.shape, regions, between = shipped(deployment)
         far = {
-            (one, other): between * MILLI
+            (one, other): between * MILLISECOND
             for one, other in permutations(sorted(set(regions.values())), 2)
         }
         self.world = FleetWorld(
--- a/src/willowpost/sim/fleet/callers.py
+++ b/src/willowpost/sim/fleet/callers.py
@@ -27,9 +27,9 @@
         node_state, now = seat.node.proxy, self.now(seat)
         return (
             node_state.may_serve(now)
-            and node_state.warmed_up(now)
+            and node_state.is_warmed_up(now)
             and not node_state.is_draining
-            and node_state.emptied_at is None
+            and node_state.evacuated_at is None
         )
 
     def _call(self):
--- a/src/willowpost/sim/fleet/fault_injector.py
+++ b/src/willowpost/sim/fleet/fault_injector.py
@@ -4,8 +4,8 @@
 
 from willowpost.common.clock import SECOND
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenWanted
-from willowpost.proxy.origin.answer import WholeAnswer
-from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.errors import ExchangeError
+from willowpost.proxy.origin.response import OriginResponse
 from willowpost.sim.fleet.messages import HEALTH, SimAnswer, SimRequest
 
 CONNECT = 1 * SECOND
@@ -67,13 +67,13 @@
             address,
             incarnation,
         )
-        self.reused = False
+        self.is_reused = False
 
-    def instance_check(self, instance_check, seconds):
+    def check_instance(self, instance_check, seconds):
         """Asks which process answers; waits at most `seconds`.
 
         Raises:
-            ExchangeFailure: There was no valid answer, or it comes from another process.
+            ExchangeError: There was no valid answer, or it comes from another process.
         """
         answer = self.fault_injector.call(
             self.address,
@@ -81,27 +81,27 @@
             int(seconds * SECOND),
         )
         if answer is None or not answer.whole:
-            raise ExchangeFailure(
+            raise ExchangeError(
                 "instance check: deadline" if answer is None else "instance check: closed",
-                sent=False,
+                was_sent=False,
             )
-        instance_check.judge(WholeAnswer(answer.status, list(answer.headers), answer.body))
+        instance_check.verify(OriginResponse(answer.status, list(answer.headers), answer.body))
 
-    def run(self, method, target, headers, body, seconds, whole_max, echo=None):
+    def run(self, request, seconds, max_buffered_bytes, echo=None):
         """Sends a request and waits at most `seconds` for the response.
 
         Raises:
-            ExchangeFailure: No whole response came from the incarnation that the connection belongs
+            ExchangeError: No whole response came from the incarnation that the connection belongs
                 to.
         """
         answer = self.fault_injector.call(
             self.address,
             SimRequest(
                 self.fault_injector.next(),
-                method,
-                target,
-                tuple(headers),
-                body or "",
+                request.method,
+                request.target,
+                tuple(request.headers),
+                request.body or "",
                 self.incarnation,
             ),
             int(seconds * SECOND),
@@ -111,20 +111,20 @@
             or not answer.whole
             or (self.incarnation is not None and answer.incarnation != self.incarnation)
         ):
-            raise ExchangeFailure(
+            raise ExchangeError(
                 "deadline" if answer is None else "read: the answer ended short",
-                sent=True,
-                died=answer is not None and answer.incarnation != self.incarnation,
+                was_sent=True,
+                is_process_gone=answer is not None and answer.incarnation != self.incarnation,
             )
         self.incarnation = answer.incarnation
-        return WholeAnswer(answer.status, list(answer.headers), answer.body)
+        return OriginResponse(answer.status, list(answer.headers), answer.body)
 
     def close(self):
         """Virtual connections are counted by the fault injector alone."""
 
 
 class SimFaultInjector:
-    """The simulated counterpart of SocketIo, and the scheduler of request tasks.
+    """The simulated counterpart of OriginConnections, and the scheduler of request tasks.
 
     A task of an incarnation that has ended is never woken.
     """
@@ -195,7 +195,7 @@
         if task is not None:
             self.wake(task, answer)
 
-    def room(self, owner, most):
+    def has_capacity(self, owner, most):
         """Whether a request may have a connection; there is no limit here."""
         return True
 
@@ -203,7 +203,7 @@
         """A connection to the owner: an idle one if `reuse` allows, else a new one.
 
         Raises:
-            ExchangeFailure: No connection could be made; nothing was sent.
+            ExchangeError: No connection could be made; nothing was sent.
         """
         incarnation = self.pool.get(owner) if reuse else None
         reused = incarnation is not None
@@ -212,15 +212,15 @@
                 address, SimRequest(self.next(), "CONNECT", "", (), "", None), CONNECT
             )
             if instance_checked is None or not instance_checked.whole:
-                raise ExchangeFailure(
-                    "connect: refused", sent=False, died=instance_checked is not None
+                raise ExchangeError(
+                    "connect: refused", was_sent=False, is_process_gone=instance_checked is not None
                 )
             incarnation = instance_checked.incarnation
         exchange = SimExchange(self, owner, address, incarnation)
-        exchange.reused = reused
+        exchange.is_reused = reused
         return exchange
 
-    def token(self, service, origin):
+    def request_token(self, service, origin):
         """Asks the control node for an admission token; False if it gives none."""
         ticket = ("token", self.next())
         self.waiting[ticket] = getcurrent()
@@ -235,7 +235,7 @@
         if task is not None:
             self.wake(task, given)
 
-    def finish(self, owner, exchange, reuse, answer):
+    def release(self, owner, exchange, reuse, answer):
         """Ends the use of a connection; after an answer it may be reused if `reuse` is set."""
         if answer is not None and reuse:
             self.pool[owner] = exchange.incarnation
--- a/src/willowpost/sim/fleet/fault_schedule.py
+++ b/src/willowpost/sim/fleet/fault_schedule.py
@@ -2,7 +2,7 @@
 
 from itertools import permutations
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.sim.fleet.faults.clients import ClientFaults
 from willowpost.sim.fleet.faults.disks import DiskFaults
 from willowpost.sim.fleet.faults.machines import MachineFaults
@@ -131,7 +131,7 @@
         **world,
     ):
         far = {
-            (one, other): between * MILLI
+            (one, other): between * MILLISECOND
             for one, other in permutations(sorted(set((regions or {}).values())), 2)
         }
         self.world = FleetWorld(seed, Weather(drop=0.002, between=far), regions=regions, **world)
@@ -158,7 +158,7 @@
             self.trace.append((world.time, chosen_fault.__name__))
             chosen_fault()
             for _ in range(world.chance.randrange(1, 12)):
-                world.run(100 * MILLI)
+                world.run(100 * MILLISECOND)
         self.trace.append((world.time, "settle"))
         self.closed = True
         world.settle()
--- a/src/willowpost/sim/fleet/faults/bounded.py
+++ b/src/willowpost/sim/fleet/faults/bounded.py
@@ -1,6 +1,6 @@
 """Kinds of faults that a deployment at its peak load must bear, one at a time."""
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import SettingsChanged
 from willowpost.sim.fleet.faults.disks import SLOW_TIMES
 from willowpost.sim.world import seconds
@@ -115,7 +115,7 @@
         self.world.drain_origin(0, name)
         self.world.run(seconds(3))
         self.world.crash(name)
-        self.world.run(100 * MILLI)
+        self.world.run(100 * MILLISECOND)
         self.world.start(name)
         return False
 
@@ -137,7 +137,7 @@
         """A machine goes dark 5 to 400 ms after a change was sent to it."""
         number = self.world.chance.randrange(5)
         self._change_and_put(number)
-        self.world.run(self.world.chance.randrange(5 * MILLI, 400 * MILLI))
+        self.world.run(self.world.chance.randrange(5 * MILLISECOND, 400 * MILLISECOND))
         for name in self._core_machine(number):
             self.world.lose_power(name)
         return True
--- a/src/willowpost/sim/fleet/faults/machines.py
+++ b/src/willowpost/sim/fleet/faults/machines.py
@@ -1,9 +1,9 @@
 """Faults of machines and processes: killed, dark, frozen, wiped, restarted as planned."""
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.sim.fleet.faults.base import FaultSteps
 
-SLOW_STEP = 3 * MILLI
+SLOW_STEP = 3 * MILLISECOND
 NEWCOMERS = 2  # core machines that are replaced in one run, at most
 
 
@@ -142,7 +142,7 @@
         if node is None:
             return
         if self.world.time < latest and not getattr(node, "in_flight", 1):
-            self._later(MILLI, self._restart_when_busy, name, latest)
+            self._later(MILLISECOND, self._restart_when_busy, name, latest)
             return
         self.world.restart(name)
 
@@ -152,7 +152,7 @@
         self.configuration()
         self.world.put_configuration(registry)
         self._later(
-            self.world.chance.randrange(5 * MILLI, 400 * MILLI),
+            self.world.chance.randrange(5 * MILLISECOND, 400 * MILLISECOND),
             self._lose_power,
             self._core_machine(registry),
         )
@@ -188,7 +188,7 @@
     def _await_acceptance(self):
         accepted = self.world.rules.accepted
         before = len(accepted)
-        self.world.until(lambda: len(accepted) > before, 400 * MILLI)
+        self.world.until(lambda: len(accepted) > before, 400 * MILLISECOND)
 
     def _disks_whole(self):
         """Whether all five voters hold their own disks: one loss at a time."""
--- a/src/willowpost/sim/fleet/faults/operators.py
+++ b/src/willowpost/sim/fleet/faults/operators.py
@@ -2,7 +2,7 @@
 
 import copy
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.sim.fleet.faults.base import FaultSteps
 from willowpost.sim.fleet.operators import ALL_HOSTS
@@ -118,7 +118,7 @@
         for name in machine:
             self.world.at(SECOND, self.world.bring_back, name)
         for again in range(5):
-            self.world.at(SECOND + again * 200 * MILLI, self.world.put_configuration, number)
+            self.world.at(SECOND + again * 200 * MILLISECOND, self.world.put_configuration, number)
 
     def lost_acknowledgements(self):
         """For a while most acknowledgements to operators are lost; they send the same again."""
--- a/src/willowpost/sim/fleet/nodes.py
+++ b/src/willowpost/sim/fleet/nodes.py
@@ -4,22 +4,25 @@
 
 from greenlet import greenlet
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations
 from willowpost.common.plan import Plan
-from willowpost.node.graceful_shutdown import Stage
-from willowpost.proxy.admission.buckets import Allowance, Ramp
-from willowpost.proxy.admission.budget import RetryBudget
+from willowpost.node.graceful_shutdown import ShutdownStage
+from willowpost.proxy.admission.quota_admission import QuotaAdmission
+from willowpost.proxy.admission.retry_budget import RetryBudget
+from willowpost.proxy.admission.slow_start import SlowStartAdmission
 from willowpost.proxy.node import ProxyNode
-from willowpost.proxy.origin.pick import OriginPicker
-from willowpost.proxy.routing.attempt import Rejected
-from willowpost.proxy.routing.carrier import Carrier
+from willowpost.proxy.origin.selection import OriginSelector
+from willowpost.proxy.outgoing import OutgoingRequests
+from willowpost.proxy.routing.attempt import RequestRejectedError
+from willowpost.proxy.routing.attempt_resources import AttemptResources
+from willowpost.proxy.routing.attempts import Attempts
+from willowpost.proxy.routing.plan_executor import PlanExecutor
 from willowpost.proxy.routing.planner import RequestPlanner
-from willowpost.proxy.routing.request import Request, WritePlan
-from willowpost.proxy.routing.tries import Tries
+from willowpost.proxy.routing.request import AtMostOncePlan, Request
 from willowpost.registry.node import RegistryNode
 from willowpost.registry.origin_health import HealthCheckFinished, HeartbeatReceived
-from willowpost.registry.origin_lookup import same_incarnation
+from willowpost.registry.origin_lookup import find_incarnation
 from willowpost.sim.fleet.fault_injector import SimClock, SimFaultInjector
 from willowpost.sim.fleet.messages import SimAnswer, SimBeat, SimCall, SimRequest
 from willowpost.state.entries import DaemonDescriptor
@@ -28,7 +31,7 @@
 
 
 class SimProxy:
-    """A proxy with the daemon's own control node, cache and carrier.
+    """A proxy with the daemon's own control node, cache and plan executor.
 
     Only time, network and sockets are simulated.
     """
@@ -40,17 +43,22 @@
         self.stats = Counter()
         self.fault_injector = SimFaultInjector(world, seat)
         clock = SimClock(world, seat)
-        self.tries = Tries(
-            self.proxy,
-            clock,
-            Allowance(self.proxy),
-            Ramp(self.proxy),
-            RetryBudget(self.proxy.proxies, clock.now()),
-            OriginPicker(descriptor.zone, world.chance, lambda: self.proxy.reports),
-            self.fault_injector,
-            self.stats,
+        self.attempts = Attempts(
+            AttemptResources(
+                node_state=self.proxy,
+                clock=clock,
+                quota_admission=QuotaAdmission(self.proxy),
+                slow_start=SlowStartAdmission(self.proxy),
+                retry_budget=RetryBudget(self.proxy.proxy_count, clock.now()),
+                origin_selector=OriginSelector(
+                    descriptor.zone, world.chance, lambda: self.proxy.reports
+                ),
+                io=self.fault_injector,
+                stats=self.stats,
+                outgoing=OutgoingRequests(self.proxy, clock.now),
+            )
         )
-        self.carrier = Carrier(self.proxy, self.node.cache, clock, self.tries, self.stats)
+        self.executor = PlanExecutor(self.proxy, self.node.cache, clock, self.attempts, self.stats)
         self.planner = RequestPlanner(self.proxy, self.node.cache, clock)
         self.in_flight = 0
         self.node.shutdown.in_flight = lambda: self.in_flight
@@ -103,7 +111,7 @@
 
     def _closed(self, message):
         """Whether the listener is closed to this message; open connections go on."""
-        return self.node.shutdown.stage not in (Stage.SERVING, Stage.DRAINING) and (
+        return self.node.shutdown.stage not in (ShutdownStage.SERVING, ShutdownStage.DRAINING) and (
             isinstance(message, SimCall) or message.method == "CONNECT"
         )
 
@@ -122,12 +130,12 @@
     def _carry(self, source, number, request, body):
         try:
             plan = self.planner.plan(request)
-            if isinstance(plan, WritePlan) and self.proxy.snapshot.slot != plan.slot:
+            if isinstance(plan, AtMostOncePlan) and self.proxy.snapshot.slot != plan.slot:
                 plan = self.planner.plan(request)
-            outcome = self.carrier.carry(request, plan, body)
+            outcome = self.executor.execute(request, plan, body)
             headers = [pair for pair in outcome.answer.headers if pair[0] != "age"]
             headers += [("age", str(outcome.age // SECOND))] if outcome.age is not None else []
-            headers += [("wp-slot", str(outcome.slot))] if request.hop else []
+            headers += [("wp-slot", str(outcome.slot))] if request.is_from_edge else []
             answer = SimAnswer(
                 number,
                 outcome.answer.status,
@@ -135,11 +143,11 @@
                 outcome.answer.body,
                 incarnation=self.seat.incarnation,
             )
-        except Rejected as reject:
+        except RequestRejectedError as reject:
             answer = SimAnswer(
                 number,
-                reject.code,
-                (("wp-outcome", reject.outcome), ("retry-after", str(reject.after))),
+                reject.status,
+                (("wp-outcome", reject.outcome), ("retry-after", str(reject.retry_after_seconds))),
                 reject.reason.encode(),
                 incarnation=self.seat.incarnation,
             )
@@ -164,14 +172,14 @@
             and (self.seat.address, address) not in self.world.cuts
         )
         finished = HealthCheckFinished(origin, is_healthy)
-        self.world.at(5 * MILLI, self.world.give, self.seat.address, finished)
+        self.world.at(5 * MILLISECOND, self.world.give, self.seat.address, finished)
 
     def step(self, event, now):
         """Takes an event; heartbeats become registrations or reports; `now` is in µs."""
         match event:
             case Received(_, SimBeat() as beat):
                 tables = self.registry.tables
-                name = same_incarnation(tables, beat.address, beat.service, beat.token or None)
+                name = find_incarnation(tables, beat.address, beat.service, beat.token or None)
                 if name is not None:
                     self.world.traffic.learned_move(beat.address, beat.service)
                     heartbeat = OriginHeartbeat(name, beat.load)
--- a/src/willowpost/sim/fleet/operators.py
+++ b/src/willowpost/sim/fleet/operators.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.history.content import content_of
 from willowpost.history.records import (
@@ -16,7 +16,7 @@
     Outcome,
     Request,
 )
-from willowpost.registry.origin_lookup import origin_at
+from willowpost.registry.origin_lookup import find_origin
 from willowpost.state.configuration_changes import ConfigurationProposal
 from willowpost.state.entries import PurgeKind
 from willowpost.state.lifecycle import OriginState
@@ -25,9 +25,9 @@
 from willowpost.state.results import ConfigurationAccepted, Reason, Rejected, Result
 
 ALL_HOSTS = "*"
-LOOK_EVERY = 10 * MILLI  # at whether an answer has come
+LOOK_EVERY = 10 * MILLISECOND  # at whether an answer has come
 GIVEN_UP_AFTER = 8 * SECOND
-RESEND_AFTER = 200 * MILLI  # of an order whose acknowledgement was lost
+RESEND_AFTER = 200 * MILLISECOND  # of an order whose acknowledgement was lost
 
 
 def request_of(operation: LogOperation) -> Request | None:
@@ -206,7 +206,7 @@
         node = self.seats[f"r{registry}"].node
         if node is None:
             return
-        name = origin_at(node.registry.tables, address, service=None)
+        name = find_origin(node.registry.tables, address, service=None)
         seat = self.seats[address]
         if name is not None and seat.node is not None:
             seat.node.silent = True
--- a/src/willowpost/sim/fleet/readers.py
+++ b/src/willowpost/sim/fleet/readers.py
@@ -2,7 +2,7 @@
 
 import random
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.history.checker import HistoryChecker
 from willowpost.history.content import content_of
 from willowpost.history.records import (
@@ -15,8 +15,8 @@
 )
 from willowpost.history.search import Finding
 
-READ_EVERY = 400 * MILLI
-LOOK_EVERY = 20 * MILLI
+READ_EVERY = 400 * MILLISECOND
+LOOK_EVERY = 20 * MILLISECOND
 READ_SPAN = 3 * SECOND  # a registry gives up a read after it
 HISTORY_STEPS_MOST = 200_000
 
--- a/src/willowpost/sim/fleet/route_changes.py
+++ b/src/willowpost/sim/fleet/route_changes.py
@@ -10,18 +10,18 @@
 import random
 from dataclasses import dataclass, replace
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.proxy.routing.request import RejectPlan, Request
-from willowpost.registry.calls.change_carrier import ChangeCarrier
+from willowpost.registry.api.proposal_encoder import ProposalEncoder
 from willowpost.sim.fleet.shape import SMALL
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.state.codec import encode_operation
 from willowpost.state.configuration_changes import ConfigurationProposal, content_digest
 
 APPLIED_AFTER = 2 * SECOND
-CHANGE_EVERY = 250 * MILLI
-ASK_EVERY = 25 * MILLI
+CHANGE_EVERY = 250 * MILLISECOND
+ASK_EVERY = 25 * MILLISECOND
 FAULT_EVERY = 3 * SECOND
 CUT_FOR = 8 * SECOND
 SERVE_ON = 60 * SECOND  # as on a platform whose cut-off machines must go on serving
@@ -116,7 +116,7 @@
         )
         registry = f"r{len(self.changes) % 2}"
         tables = self.world.seats[registry].node.registry.tables
-        operation = replace(proposal, **ChangeCarrier(proposal).fields(tables))
+        operation = ProposalEncoder(proposal).encode(tables)
         size = len(json.dumps(encode_operation(operation)))
         self.changes.append(
             SentChange(self.world.ask(registry, operation), frozenset(self.paths), size)
@@ -151,8 +151,12 @@
         node.proxy.max_stale_serving = SERVE_ON
         plan = node.planner.plan(Request("GET", HOST, f"{path}1", {}))
         self.asked += 1
-        if isinstance(plan, RejectPlan) and 300 <= plan.code < 500 and plan.code not in NO_DENIALS:
-            self.denials.append(Denial(self.world.time, edge, plan.code, path))
+        if (
+            isinstance(plan, RejectPlan)
+            and 300 <= plan.status < 500
+            and plan.status not in NO_DENIALS
+        ):
+            self.denials.append(Denial(self.world.time, edge, plan.status, path))
 
     def _certain(self) -> frozenset[str]:
         """The paths that all configurations have that may be in force."""
--- a/src/willowpost/sim/fleet/settling.py
+++ b/src/willowpost/sim/fleet/settling.py
@@ -1,12 +1,12 @@
 """Planned restarts, and the end of a run: faults end, and the fleet must recover."""
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.node.graceful_shutdown import ShutdownRequested
 from willowpost.sim.world import seconds
 
 AGAIN_SECONDS = 2.0  # until the operator asks once more for what may have been lost
 SERVICE_SECONDS = 3  # in which a second's requests must be served in the end
-LOOK_EVERY = 20 * MILLI  # at whether a process has left
+LOOK_EVERY = 20 * MILLISECOND  # at whether a process has left
 
 
 class Settling:
@@ -26,7 +26,7 @@
     def _left(self, address, shutdown, incarnation):
         if self.seats[address].incarnation != incarnation:
             return  # it was killed meanwhile
-        if shutdown.gone:
+        if shutdown.is_stopped:
             self.crash(address)
             self.at(SECOND, self.bring_back, address)
         else:
--- a/src/willowpost/sim/pace.py
+++ b/src/willowpost/sim/pace.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass
 
-from willowpost.common.clock import MILLI, SECOND
-from willowpost.consensus.replica.replica_state import ReplicaTuning
+from willowpost.common.clock import MILLISECOND, SECOND
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import Weather, seconds
 from willowpost.state.operations import EvacuateZone
@@ -87,7 +87,7 @@
         while world.time < end:
             due += int(world.chance.expovariate(self.rate) * SECOND)
             while world.time < due:
-                world.run(min(MILLI, due - world.time))
+                world.run(min(MILLISECOND, due - world.time))
                 self._collect()
             token = world.ask(
                 f"r{world.chance.randrange(len(self.zones))}",
@@ -98,12 +98,12 @@
         self._collect()
         node_states = [node_state for _, node_state in world.node_states()]
         latencies = sorted(self.took)
-        voted = sum(node_state.stats["voted"] for node_state in node_states)
+        voted = sum(node_state.statistics.decided_by_votes for node_state in node_states)
         return PaceFigures(
             len(latencies),
-            node_states[0].stats["decided"],
-            node_states[0].stats["null"] / node_states[0].stats["decided"],
-            sum(node_state.stats["fast"] for node_state in node_states) / max(1, voted),
+            node_states[0].statistics.decided,
+            node_states[0].statistics.null / node_states[0].statistics.decided,
+            sum(node_state.statistics.fast_path for node_state in node_states) / max(1, voted),
             latencies[len(latencies) // 2] / 1000,
             latencies[int(len(latencies) * 0.99)] / 1000,
         )
--- a/src/willowpost/sim/replacement_faults.py
+++ b/src/willowpost/sim/replacement_faults.py
@@ -53,7 +53,7 @@
         if not world.until(world.bootstrapped, seconds(10)):
             raise AssertionError("the fleet was not founded")
         world.add_caller("r0", [])
-        world.seats["r0"].node.command_client.cores = lambda: list(world.names)
+        world.seats["r0"].node.command_client.store_addresses = lambda: list(world.names)
         world.run(seconds(2))
         for cycle in range(CYCLES):
             self._replace_machine(cycle)
@@ -125,10 +125,10 @@
         leaver = self.world.seats[name].node.shutdown
         self.world.give(name, ShutdownRequested())
         end = self.world.time + WITHIN_GRACE
-        while not leaver.gone and self.world.time < end:
+        while not leaver.is_stopped and self.world.time < end:
             self._order()
-            self.world.until(lambda: leaver.gone, ORDER_EVERY)
-        self.late_ends += not leaver.gone
+            self.world.until(lambda: leaver.is_stopped, ORDER_EVERY)
+        self.late_ends += not leaver.is_stopped
         self._take_away(name)
 
     def _take_away(self, name):
--- a/src/willowpost/sim/retry_arrivals.py
+++ b/src/willowpost/sim/retry_arrivals.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from willowpost.common.clock import MILLI, SECOND
-from willowpost.proxy.admission.budget import BudgetSettings, RetryBudget
+from willowpost.common.clock import MILLISECOND, SECOND
+from willowpost.proxy.admission.retry_budget import RetryBudget, RetryBudgetSettings
 
 TRIES = 3  # at most, for one request
-TRAVEL = 3 * MILLI
+TRAVEL = 3 * MILLISECOND
 RESTARTS = 0.0001  # for each request, of some proxy
 PART, SLACK, WINDOW = 0.2, 60, 10 * SECOND  # what the operator allows
 
@@ -37,7 +37,7 @@
     proxies: int = 10
     rate: float = 230.0
     span: int = 60 * SECOND
-    settings: BudgetSettings = field(default_factory=BudgetSettings)
+    settings: RetryBudgetSettings = field(default_factory=RetryBudgetSettings)
     given_up_after: int = SECOND
     reset: bool = True
 
@@ -63,7 +63,9 @@
         self.scenario, self.chance = scenario, random.Random(seed)
         settings = scenario.settings
         self.budgets = [
-            RetryBudget(lambda: scenario.proxies, -settings.window - settings.delay, settings)
+            RetryBudget(
+                lambda: scenario.proxies, -settings.window_us - settings.max_delay_us, settings
+            )
             for _ in range(scenario.proxies)
         ]
         self.requests: list[int] = []
@@ -109,13 +111,13 @@
 
     def _try(self, due, now, number, proxy, again, left):
         budget = self.budgets[proxy]
-        if again and not budget.let_in(now):
+        if again and not budget.take_retry(now):
             return
         if not again:
-            budget.first(now)
+            budget.record_first_attempt(now)
         answered_at, helped = self._send(now, proxy, again)
         if again:
-            budget.ended(helped)
+            budget.record_retry_outcome(helped)
         if not helped and left > 1:
             heapq.heappush(due, (answered_at, number, proxy, True, left - 1))
 
--- a/src/willowpost/sim/rules.py
+++ b/src/willowpost/sim/rules.py
@@ -55,7 +55,7 @@
             if isinstance(message, BallotState):
                 self._stand(world, seat, message)
             if isinstance(message, CommandAccepted) and isinstance(
-                json.loads(message.answers), list
+                json.loads(message.results), list
             ):
                 self._accept(world, seat, message)
         place = (seat.address, seat.incarnation)
--- a/src/willowpost/sim/scripted_core.py
+++ b/src/willowpost/sim/scripted_core.py
@@ -129,12 +129,12 @@
 
         Args:
             name: the store.
-            **spans: of LeaveSpans, in µs.
+            **spans: of StoreShutdownTimeouts, in µs.
         """
         leaver = self.seats[name].node.shutdown
-        leaver.spans = StoreShutdownTimeouts(**spans)
+        leaver.timeouts = StoreShutdownTimeouts(**spans)
         self.give(name, ShutdownRequested())
-        return lambda: leaver.gone
+        return lambda: leaver.is_stopped
 
     def epochs(self):
         """The epochs that live stores know."""
--- a/src/willowpost/sim/world.py
+++ b/src/willowpost/sim/world.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from heapq import heappop, heappush
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.sim.disk import SimDisk
 from willowpost.sim.seat import Seat, Weather
@@ -30,7 +30,7 @@
         sent: Number of messages sent, by type.
     """
 
-    TICK = 20 * MILLI
+    TICK = 20 * MILLISECOND
 
     def __init__(self, seed: int, weather: Weather = None, unsafe_send: bool = False):
         self.chance = random.Random(seed)
@@ -145,7 +145,7 @@
         """Runs until the condition holds, at most `span` µs; returns whether it holds."""
         end = self.time + span
         while self.time < end and not condition():
-            self.run(min(5 * MILLI, end - self.time))
+            self.run(min(5 * MILLISECOND, end - self.time))
         return condition()
 
     def give(self, address: str, event) -> None:
--- a/src/willowpost/stand_ins/callers.py
+++ b/src/willowpost/stand_ins/callers.py
@@ -12,7 +12,7 @@
 from gevent.pool import Pool
 from geventhttpclient import HTTPClient
 
-from willowpost.shell.mesh import split
+from willowpost.shell.addresses import split_address
 
 
 @dataclass(slots=True)
@@ -150,7 +150,9 @@
         client = (
             idle_clients.pop()
             if idle_clients
-            else HTTPClient(*split(edge), connection_timeout=1, network_timeout=10, concurrency=1)
+            else HTTPClient(
+                *split_address(edge), connection_timeout=1, network_timeout=10, concurrency=1
+            )
         )
         try:
             answer = client.request(method, path, body=body.encode(), headers=headers)
@@ -170,7 +172,7 @@
 def ask(address: str, method: str, path: str, value=None, headers=None, seconds: float = 6):
     """One call: (code, headers, value), or None when nobody answered."""
     client = HTTPClient(
-        *split(address), connection_timeout=min(1, seconds), network_timeout=seconds
+        *split_address(address), connection_timeout=min(1, seconds), network_timeout=seconds
     )
     try:
         body = (
--- a/src/willowpost/stand_ins/main.py
+++ b/src/willowpost/stand_ins/main.py
@@ -7,8 +7,10 @@
 import gevent
 
 from willowpost.common.clock import Clock
+from willowpost.shell.router import Router
 from willowpost.shell.structured_log import StructuredLogger
-from willowpost.shell.web import Answer, Router, WebServer
+from willowpost.shell.web import Response
+from willowpost.shell.web_server import WebServer
 from willowpost.stand_ins.origin import Ledger, StandInsOrigin
 
 
@@ -37,19 +39,19 @@
             case "start":
                 origin.start()
             case "drain" | "leave":
-                return Answer(200, origin.say(f"/{asked['do']}"))
+                return Response(200, origin.say(f"/{asked['do']}"))
             case "version":
                 self.ledger.version += 1
-                return Answer(200, {"version": self.ledger.version})
+                return Response(200, {"version": self.ledger.version})
             case "move":
                 origin.crash()
                 origin.service = asked.get("service", origin.service)
                 origin.start(asked.get("quiet", 0.0))
-        return Answer(200, {})
+        return Response(200, {})
 
     def ledger_page(self, call):
         """What all stand-in origins saw, as JSON."""
-        return Answer(
+        return Response(
             200,
             {
                 "writes": dict(self.ledger.writes),
--- a/src/willowpost/stand_ins/origin.py
+++ b/src/willowpost/stand_ins/origin.py
@@ -14,8 +14,9 @@
 from gevent.pywsgi import WSGIServer
 from geventhttpclient import HTTPClient
 
-from willowpost.shell.mesh import split
-from willowpost.shell.web import QuietHandler, status_line
+from willowpost.shell.addresses import split_address
+from willowpost.shell.web import status_line
+from willowpost.shell.web_server import QuietHandler
 
 WARM_SECONDS = 8
 SLOW_SECONDS = 4
@@ -87,7 +88,7 @@
         """
         self.started_at, self.token = self.clock.now(), secrets.token_hex(8)
         self.server = WSGIServer(
-            split(self.address),
+            split_address(self.address),
             self._serve,
             handler_class=QuietHandler,
             log=None,
@@ -107,7 +108,7 @@
         """Tell one registry after the other until one takes it; its answer, or None."""
         value = {"service": self.service, "address": self.address, **more}
         for number in range(len(self.registries)):
-            host, port = split(self.registries[number])
+            host, port = split_address(self.registries[number])
             client = HTTPClient(host, port, connection_timeout=1, network_timeout=6)
             try:
                 answer = client.post(
--- a/src/willowpost/state/apply/state_machine.py
+++ b/src/willowpost/state/apply/state_machine.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from willowpost.common.gc_pause import uncollected
+from willowpost.common.gc_pause import paused_gc
 from willowpost.state import operations
 from willowpost.state.apply import (
     configurations,
@@ -57,7 +57,7 @@
         command = decision.command
         if command is None or is_decided(tables, command):
             return replace(tables, slot=tables.slot + 1)
-        with uncollected():
+        with paused_gc():
             stored_operations = json.loads(command.body)
         results: list[Result] = []
         for index, stored in enumerate(stored_operations):
--- a/src/willowpost/state/configuration_changes.py
+++ b/src/willowpost/state/configuration_changes.py
@@ -65,7 +65,7 @@
         if in_force.tree is None:
             raise KeyError("no configuration is in force")
         delta = ConfigurationDelta(self.tree_delta, self.source_delta)
-        tree, source = delta.on(in_force.tree, in_force.source)
+        tree, source = delta.apply_to(in_force.tree, in_force.source)
         return replace(self, tree=tree, source=source)
 
 
--- a/src/willowpost/state/tables.py
+++ b/src/willowpost/state/tables.py
@@ -7,7 +7,7 @@
 
 from willowpost.common.digest import blake2b
 from willowpost.common.formats import UnknownFormatError
-from willowpost.common.gc_pause import uncollected
+from willowpost.common.gc_pause import paused_gc
 from willowpost.state import codec
 from willowpost.state.configuration_changes import ChangeLog
 from willowpost.state.entries import (
@@ -118,7 +118,7 @@
     Raises:
         UnknownFormatError: the text was made by a build that writes another format.
     """
-    with uncollected():
+    with paused_gc():
         stored = json.loads(text)
         found = stored.get(FORMAT_NAME)
         if found != SNAPSHOT_FORMAT:
--- a/src/willowpost/store/daemon.py
+++ b/src/willowpost/store/daemon.py
@@ -49,7 +49,7 @@
         node = StoreNode(self._options(records[0], clock.wall()), records, clock.now(), clock.wall)
         tables = node.node_state.tables
         self.logger.log("store", "state restored", slot=tables.slot, epoch=tables.epoch)
-        node.shutdown.timeouts = self.settings.store_spans()
+        node.shutdown.timeouts = self.settings.store_shutdown_timeouts()
         self.node = node
         self.runner.start(node)
 
@@ -82,7 +82,7 @@
             records: list[Record] = disk.load()
         except DiskDamagedError as damage:
             # What this store has promised and voted is not known any more: it counts as lost.
-            set_aside = disk.set_aside(clock.wall())
+            set_aside = disk.quarantine(clock.wall())
             self.logger.log(
                 "disk",
                 "damaged, set aside",
--- a/src/willowpost/store/graceful_shutdown.py
+++ b/src/willowpost/store/graceful_shutdown.py
@@ -14,10 +14,9 @@
 from types import MappingProxyType
 from typing import Any
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
-from willowpost.consensus.replica.barrier import previous_identities
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.node.command_client import CommandClient
 from willowpost.node.graceful_shutdown import ShutdownRequested
@@ -48,7 +47,7 @@
     }
 )
 HANDOVER_TIMEOUT_US = 5 * SECOND
-SYNC_TIMEOUT_US = 500 * MILLI
+SYNC_TIMEOUT_US = 500 * MILLISECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +140,7 @@
         """
         node_state, own_identity = self.node_state, self.node_state.member.identity
         if not node_state.is_voter:
-            was_replaced = own_identity in previous_identities(node_state.tables)
+            was_replaced = own_identity in node_state.tables.previous_voter_identities()
             return not was_replaced or is_change_complete(node_state.tables)
         others = [identity for identity in node_state.voter_addresses if identity != own_identity]
         synced = sum(
--- a/src/willowpost/store/main.py
+++ b/src/willowpost/store/main.py
@@ -1,6 +1,6 @@
 """The command `wpstore`."""
 
-import willowpost.shell.starting  # noqa: F401  before what takes long to import
+import willowpost.shell.startup_signals  # noqa: F401  before what takes long to import
 from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.program import DaemonCommand, run
 from willowpost.shell.structured_log import StructuredLogger
@@ -21,7 +21,7 @@
 Five empty stores that find each other through their seeds bootstrap the fleet. A store
 whose folder was lost comes back under a new identity, catches up, and replaces its
 former identity as a voter."""
-    needs = ("data",)
+    required_settings = ("data",)
 
     def build(self, settings: ProcessSettings, logger: StructuredLogger) -> StoreDaemon:
         """Make the daemon of checked settings."""
--- a/src/willowpost/store/node.py
+++ b/src/willowpost/store/node.py
@@ -6,14 +6,16 @@
 
 from willowpost.common.controller import Controller
 from willowpost.common.plan import Plan
+from willowpost.consensus.replica import restoration
 from willowpost.consensus.replica.acceptance import Acceptance
-from willowpost.consensus.replica.barrier import FormerVoter
 from willowpost.consensus.replica.bootstrap import Bootstrap, VoterPolicy
 from willowpost.consensus.replica.catchup import Catchup
 from willowpost.consensus.replica.compaction import Compaction
-from willowpost.consensus.replica.missed_change import MissedChange
-from willowpost.consensus.replica.quorum_reads import Reads
-from willowpost.consensus.replica.replica_state import ReplicaState, ReplicaTuning
+from willowpost.consensus.replica.epoch_discovery import EpochDiscovery
+from willowpost.consensus.replica.previous_voter import PreviousVoter
+from willowpost.consensus.replica.quorum_reads import QuorumReads
+from willowpost.consensus.replica.replica_state import ReplicaState
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.consensus.replica.voting import Voting
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.node.command_client import CommandClient
@@ -82,7 +84,7 @@
         wall_clock: Callable[[], int],
     ) -> None:
         self.node_state = ReplicaState(options.member, options.tuning, options.thresholds)
-        self.node_state.restore(records, now)
+        restoration.restore_state(self.node_state, records, now)
         self.descriptor = options.descriptor()
         self.command_client = CommandClient(
             options.member.identity, options.incarnation, self._store_addresses, wall_clock
@@ -101,7 +103,7 @@
         self.controllers: list[Controller] = [
             *self._consensus_controllers(options),
             self.command_client,
-            FormerVoter(self.node_state),
+            PreviousVoter(self.node_state),
             voter_repair,
             FailureDetector(self.descriptor, self._tables, self.command_client),
             fleet_join,
@@ -113,10 +115,10 @@
         return [
             Bootstrap(state, options.seeds, options.bootstrap_voters, options.voter_policy),
             Catchup(state),
-            MissedChange(state),
+            EpochDiscovery(state),
             Voting(state),
             Acceptance(state),
-            Reads(state, options.incarnation),
+            QuorumReads(state, options.incarnation),
             Compaction(state),
         ]
 
--- a/src/willowpost/store/voter_repair.py
+++ b/src/willowpost/store/voter_repair.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import SubmitOperations, Tick
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.replica_state import ReplicaState
@@ -21,7 +21,7 @@
 from willowpost.wire.messages import Member
 
 REQUEST_INTERVAL_US = 1 * SECOND
-MAX_TABLE_AGE_US = 500 * MILLI
+MAX_TABLE_AGE_US = 500 * MILLISECOND
 # A request that was not decided by then is not retried; a new one is made while it is still
 # wanted.
 REQUEST_LIFETIME_US = 2 * SECOND
--- a/src/willowpost/toolbox/folder.py
+++ b/src/willowpost/toolbox/folder.py
@@ -13,8 +13,8 @@
     decision_from,
     founding_voters,
 )
-from willowpost.shell.disk import ASIDE, segments_in
-from willowpost.shell.segment_format import DiskDamagedError, parse
+from willowpost.shell.disk import TEMPORARY_SUFFIX, segment_names
+from willowpost.shell.segment_format import DiskDamagedError, parse_segment
 from willowpost.state.apply import StateMachine
 from willowpost.state.tables import Tables, tables_from
 
@@ -39,11 +39,11 @@
         facts: dict[str, Any] = {}
         if not os.path.isdir(folder):
             return [Finding(folder, "no such folder")], facts
-        names = segments_in(folder)
+        names = segment_names(folder)
         findings += [
             Finding(name, "left from an unfinished write; a store drops it")
             for name in sorted(os.listdir(folder))
-            if name.endswith(ASIDE)
+            if name.endswith(TEMPORARY_SUFFIX)
         ]
         if not names:
             return [
@@ -53,7 +53,7 @@
         path = os.path.join(folder, names[-1])
         data = Path(path).read_bytes()
         try:
-            records, sound = parse(data)
+            records, sound = parse_segment(data)
         except (DiskDamagedError, UnknownFormatError) as damage:
             return [*findings, Finding(names[-1], str(damage))], facts
         if sound < len(data):
@@ -116,8 +116,8 @@
 
     def run(self, folder: str, slot: int | None = None) -> Tables:
         """The tables before `slot`, or at the end; ValueError for a slot that is not held."""
-        names = segments_in(folder)
-        records, _ = parse(Path(folder, names[-1]).read_bytes())
+        names = segment_names(folder)
+        records, _ = parse_segment(Path(folder, names[-1]).read_bytes())
         tables, proposed = Tables(), None
         for record in records:
             if slot is not None and tables.epoch and tables.slot >= slot:
--- a/src/willowpost/toolbox/planner.py
+++ b/src/willowpost/toolbox/planner.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from willowpost.configuration.routes import Route, routes_of
-from willowpost.proxy.routing.snapshot import SnapshotMaker
+from willowpost.proxy.routing.snapshot_maker import SnapshotMaker
 from willowpost.state.apply import apply_operation
 from willowpost.state.lifecycle import DaemonState
 from willowpost.state.operations import EvacuateZone
--- a/tests/compatibility/test_store_folders.py
+++ b/tests/compatibility/test_store_folders.py
@@ -5,9 +5,10 @@
 import unittest
 from pathlib import Path
 
+from willowpost.consensus.replica import restoration
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.shell.disk import Disk
-from willowpost.shell.segment_format import segment_of
+from willowpost.shell.segment_format import encode_segment
 from willowpost.wire.messages import Member
 
 STORES = Path(__file__).parent.parent / "data" / "bf1d9c7" / "stores"
@@ -35,7 +36,7 @@
         first = records[0]
         me = Member(first["identity"], first["name"], first["zone"], first["address"])
         state = ReplicaState(me)
-        state.restore(records, 0)
+        restoration.restore_state(state, records, 0)
         return state
 
     def test_each_folder_gives_the_same_tables_and_the_same_next_segment(self):
@@ -46,7 +47,7 @@
                 state = self.restored(self.loaded(store))
                 self.assertEqual((store / "tables.json").read_text(), state.tables.text())
                 self.assertEqual(
-                    (store / "rewritten.wp").read_bytes(), segment_of(state.segment_records())
+                    (store / "rewritten.wp").read_bytes(), encode_segment(state.segment_records())
                 )
 
     def test_the_folders_hold_every_kind_of_record(self):
--- a/tests/consensus/test_catchup.py
+++ b/tests/consensus/test_catchup.py
@@ -5,12 +5,12 @@
 from heapq import heappop, heappush
 
 from tests.support.entries import member
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.node.follower import Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
-from willowpost.shell.segment_format import segment_of
+from willowpost.shell.segment_format import encode_segment
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
 from willowpost.state.configuration_changes import ConfigurationProposal
@@ -100,7 +100,7 @@
             for seat, state in core.world.node_states():
                 now = core.world.now(seat)
                 state.outgoing_snapshot.chunk(state.tables, -1, state.log_floor, None, now)
-        core.world.weather.least = 20 * MILLI  # so that a transfer can be stopped half-way
+        core.world.weather.least = 20 * MILLISECOND  # so that a transfer can be stopped half-way
         core.world.start("s2")
         return core
 
@@ -128,11 +128,11 @@
         sent_chunks = []
         core.world.checks.append(
             lambda world, seat, event, plan: sent_chunks.extend(
-                (seat.address, message.piece.slot, message.piece.offset)
+                (seat.address, message.chunk.slot, message.chunk.offset)
                 for address, message in plan.sends
                 if address == "s2"
                 and isinstance(message, CatchupResponse)
-                and message.piece is not None
+                and message.chunk is not None
             )
         )
         partial = self.begun(core)
@@ -212,7 +212,8 @@
             "r:1": NodeState(self.descriptor("r"), seed_store_addresses=("A:1",)),
         }
         self.followers = {
-            address: Follower(node, [], tree=False) for address, node in self.nodes.items()
+            address: Follower(node, [], may_poll_proxies=False)
+            for address, node in self.nodes.items()
         }
 
     def descriptor(self, name):
@@ -220,8 +221,8 @@
 
     def run(self, span):
         """Until the second one is fresh; the time that it took in us, or None."""
-        for now in range(0, span, 10 * MILLI):
-            self.nodes["A:1"].confirm_as_of(now)
+        for now in range(0, span, 10 * MILLISECOND):
+            self.nodes["A:1"].confirm_fresh(now)
             while self.heap and self.heap[0][0] <= now:
                 _, _, target, source, message = heappop(self.heap)
                 self.step(target, Received(source, message), now)
@@ -239,24 +240,24 @@
 
 class FollowerTransfer(unittest.TestCase):
     def test_a_follower_takes_a_large_snapshot_once_whatever_the_link(self):
-        for delay in (MILLI, 200 * MILLI, 400 * MILLI):
+        for delay in (MILLISECOND, 200 * MILLISECOND, 400 * MILLISECOND):
             wire = Wire(delay)
             size = len(wire.nodes["A:1"].tables.text())
             self.assertGreater(size, 2 * CHUNK_BYTES)
             self.assertIsNotNone(wire.run(10 * SECOND), delay)
             self.assertEqual(90, wire.nodes["r:1"].tables.slot)
             # beyond STALLED_AFTER_US polls ask for pieces again that are under way
-            most = 1.1 if delay < 200 * MILLI else 4
+            most = 1.1 if delay < 200 * MILLISECOND else 4
             self.assertLess(wire.sent, most * size, delay)
 
     def test_a_snapshot_of_an_unknown_format_is_refused_and_nothing_is_changed(self):
-        wire = Wire(MILLI)
+        wire = Wire(MILLISECOND)
         text = json.dumps({**json.loads(wire.nodes["A:1"].tables.text()), "format": 99})
         follower = wire.followers["r:1"]
         plan = follower.step(Tick(), 0)
         (nonce,) = follower.polls
         update = StateUpdate(nonce, 90, 0, True, snapshot=text)
-        plan = follower.step(Received("A:1", update), MILLI)
+        plan = follower.step(Received("A:1", update), MILLISECOND)
         self.assertEqual((0, None), (wire.nodes["r:1"].tables.slot, wire.nodes["r:1"].fresh_as_of))
         self.assertIn("unknown format", plan.log_entries[0][1])
 
@@ -267,7 +268,7 @@
         core, sizes = LargeCore(3, pace), []
         for _ in range(3):
             core.change(12)
-            sizes.append(len(segment_of(core.world.seats["s0"].disk.records)))
+            sizes.append(len(encode_segment(core.world.seats["s0"].disk.records)))
         kept = sum(
             len(decision.command.body)
             for decision in core.world.seats["s0"].node.node_state.log.values()
--- a/tests/consensus/test_epoch_barrier.py
+++ b/tests/consensus/test_epoch_barrier.py
@@ -238,7 +238,7 @@
 class SafeToRemove(unittest.TestCase):
     def reasons(self, fresh=True, **changed):
         verdict = safe_to_remove(replace(TABLES, **changed), fresh)
-        self.assertEqual(verdict.safe, not verdict.reasons)
+        self.assertEqual(verdict.is_safe, not verdict.reasons)
         return verdict.reasons
 
     def test_each_reason_against_it(self):
--- a/tests/consensus/test_replacement_faults.py
+++ b/tests/consensus/test_replacement_faults.py
@@ -26,7 +26,7 @@
 
     def test_without_replacements_the_next_loss_stops_the_core(self):
         with (
-            patch.object(VoterRepair, "_lost", lambda self: None),
+            patch.object(VoterRepair, "_replaceable_voter", lambda self: None),
             self.assertRaisesRegex(Broken, "never accepted"),
         ):
             ReplacementFaultSchedule(0).run()
--- a/tests/consensus/test_voter_replacement.py
+++ b/tests/consensus/test_voter_replacement.py
@@ -75,7 +75,7 @@
         return world
 
     def leave_then_lose(self, world):
-        gone = world.terminate("s2", handover=seconds(4), settle=seconds(4))
+        gone = world.terminate("s2", handover=seconds(4), sync=seconds(4))
         self.waited = not world.until(gone, seconds(0.5))
         if self.waited:
             world.blocked.remove(self.deaf)
@@ -92,7 +92,7 @@
 
     def test_a_store_that_just_stops_takes_the_second_copy_along(self):
         world = self.lagging(("a", "b", "c"))
-        with patch.object(StoreShutdown, "_settled", lambda self: True):
+        with patch.object(StoreShutdown, "_is_synced", lambda self: True):
             self.leave_then_lose(world)
         self.assertFalse(world.holds("s1", "z"))
 
--- a/tests/drill/test_history_size.py
+++ b/tests/drill/test_history_size.py
@@ -5,7 +5,7 @@
 import unittest
 
 from willowpost.drill.history_size import FolderDisk, HistoryMeasure
-from willowpost.shell.disk import segments_in
+from willowpost.shell.disk import segment_names
 
 
 class HistorySize(unittest.TestCase):
@@ -15,7 +15,7 @@
             self.assertGreater(figures.disk, figures.configuration)
             self.assertLess(figures.catch_up_old_disk, 3)
             self.assertLess(figures.catch_up_empty_disk, 3)
-            self.assertEqual(1, len(segments_in(os.path.join(folder, "s0"))))
+            self.assertEqual(1, len(segment_names(os.path.join(folder, "s0"))))
 
     def test_what_was_written_is_read_anew(self):
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/node/test_command_client.py
+++ b/tests/node/test_command_client.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.common.events import Received, SubmitOperations, Tick, WithdrawSubmission
 from willowpost.node.command_client import CommandClient, SubmissionOutcome
 from willowpost.state.operations import EndOrigin
@@ -15,12 +15,12 @@
         self.client = CommandClient("d", 10, lambda: ["s:1"], lambda: 5)
         for token in (1, 2):
             self.client.step(SubmitOperations(token, (EndOrigin(str(token)),)), 0)
-        ((_, submitted),) = self.client.step(Tick(), 10 * MILLI).sends
+        ((_, submitted),) = self.client.step(Tick(), 10 * MILLISECOND).sends
         self.command = submitted.command
 
     def answer(self, text):
         accepted = CommandAccepted(self.command.key, 9, text)
-        return self.client.step(Received("s:1", accepted), 20 * MILLI)
+        return self.client.step(Received("s:1", accepted), 20 * MILLISECOND)
 
     def test_each_caller_gets_the_results_of_its_own_operations(self):
         plan = self.answer('[{"ok": true}, {"ok": true}]')
@@ -33,7 +33,7 @@
         self.assertEqual([(1, outcome), (2, outcome)], plan.replies)
 
     def test_a_barred_command_is_submitted_anew_above_the_incarnation_that_barred_it(self):
-        self.client.step(WithdrawSubmission(1), 15 * MILLI)
+        self.client.step(WithdrawSubmission(1), 15 * MILLISECOND)
         plan = self.answer('{"barred": 50}')
         self.assertEqual([], plan.replies)
         ((address, renewed),) = plan.sends
--- a/tests/node/test_failure_detector.py
+++ b/tests/node/test_failure_detector.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from tests.support.entries import daemon_entry
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.common.plan import Plan
 from willowpost.node.failure_detector import (
@@ -18,7 +18,7 @@
 from willowpost.wire.messages import Ping, Pong
 
 WATCHER = DaemonDescriptor("w", "proxy", "edge", "w", "a", "w:1", "w:2", 7)
-TICK_US = 20 * MILLI
+TICK_US = 20 * MILLISECOND
 
 
 class RecordingClient:
--- a/tests/node/test_follower.py
+++ b/tests/node/test_follower.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.node.follower import SOURCES_LOST_AFTER_US, Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
@@ -26,7 +26,7 @@
     def ticks(self, start, span=3 * SECOND):
         return [
             send
-            for now in range(start, start + span, 20 * MILLI)
+            for now in range(start, start + span, 20 * MILLISECOND)
             for send in self.follower.step(Tick(), now).sends
         ]
 
@@ -38,13 +38,16 @@
 
     def test_seeds_are_greeted_only_once_no_state_update_came_for_three_seconds(self):
         self.assertEqual(set(), self.greeted(self.ticks(0, SOURCES_LOST_AFTER_US)))
-        self.assertEqual({"x:1"}, self.greeted(self.ticks(SOURCES_LOST_AFTER_US + MILLI)))
+        self.assertEqual({"x:1"}, self.greeted(self.ticks(SOURCES_LOST_AFTER_US + MILLISECOND)))
 
     def test_stores_that_new_seeds_name_are_polled_until_a_state_update_comes(self):
         self.follower.step(SettingsChanged(("y:1",)), 0)
         self.assertEqual({"y:1"}, self.greeted(self.ticks(4 * SECOND)))
         self.follower.step(
-            Received("y:1", Hello(answer=True, bootstrapped=True, known=members("C", "D", "E"))),
+            Received(
+                "y:1",
+                Hello(is_reply=True, is_bootstrapped=True, known_members=members("C", "D", "E")),
+            ),
             7 * SECOND,
         )
         polls = self.polled(self.ticks(7 * SECOND))
@@ -64,7 +67,8 @@
     def test_tables_never_go_back_whichever_source_is_polled(self):
         self.ticks(4 * SECOND)
         self.follower.step(
-            Received("x:1", Hello(answer=True, bootstrapped=True, known=members("D"))), 7 * SECOND
+            Received("x:1", Hello(is_reply=True, is_bootstrapped=True, known_members=members("D"))),
+            7 * SECOND,
         )
         older = Tables(slot=40, epoch=9, voters=members("D"))
         self.follower.step(
@@ -77,7 +81,8 @@
 
     def test_hellos_are_ignored_while_state_updates_come(self):
         self.follower.step(
-            Received("x:1", Hello(answer=True, bootstrapped=True, known=members("D"))), SECOND
+            Received("x:1", Hello(is_reply=True, is_bootstrapped=True, known_members=members("D"))),
+            SECOND,
         )
         self.assertEqual((), self.node_state.seed_store_addresses)
 
--- a/tests/node/test_graceful_shutdown.py
+++ b/tests/node/test_graceful_shutdown.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from tests.support.entries import daemon_entry
-from willowpost.common.clock import MILLI
+from willowpost.common.clock import MILLISECOND
 from willowpost.common.events import Tick
 from willowpost.common.plan import Plan
 from willowpost.node.graceful_shutdown import (
@@ -39,7 +39,7 @@
             self.node_state,
             self.command_client,
             SimpleNamespace(is_leaving=False),
-            ShutdownTimeouts(2500 * MILLI, 2000 * MILLI, 600 * MILLI),
+            ShutdownTimeouts(2500 * MILLISECOND, 2000 * MILLISECOND, 600 * MILLISECOND),
         )
         self.in_flight = 0
         self.shutdown.in_flight = lambda: self.in_flight
@@ -49,7 +49,7 @@
         return next(
             now
             for now in range(0, 20_000, 20)
-            if self.shutdown.step(Tick(), now * MILLI) and self.shutdown.stage is stage
+            if self.shutdown.step(Tick(), now * MILLISECOND) and self.shutdown.stage is stage
         )
 
     def test_idle_it_is_gone_soon_after_the_drain(self):
@@ -70,7 +70,7 @@
     def test_whoever_has_left_the_log_need_not_wait(self):
         self.until(ShutdownStage.LEAVING)
         self.node_state.tables = Tables()
-        self.shutdown.step(Tick(), 2700 * MILLI)
+        self.shutdown.step(Tick(), 2700 * MILLISECOND)
         self.assertIs(ShutdownStage.STOPPED, self.shutdown.stage)
 
     def test_a_request_in_flight_is_waited_for_and_no_longer_than_the_spans(self):
--- a/tests/node/test_request_number_reuse.py
+++ b/tests/node/test_request_number_reuse.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.support.entries import member
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
@@ -28,7 +28,7 @@
 def sent(controllers, span=SECOND):
     return [
         message
-        for now in range(0, span, 20 * MILLI)
+        for now in range(0, span, 20 * MILLISECOND)
         for controller in controllers
         for _, message in controller.step(Tick(), now).sends
     ]
--- a/tests/node/test_stale_incarnation_answers.py
+++ b/tests/node/test_stale_incarnation_answers.py
@@ -4,7 +4,7 @@
 from itertools import pairwise
 
 from tests.support.entries import daemon_entry
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.nonce import NonceSequence
 from willowpost.consensus.replica.records import founding_record
@@ -13,10 +13,10 @@
 from willowpost.node.follower import Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.proxy.admission.admission_tokens import AdmissionTokenTaker, AdmissionTokenWanted
-from willowpost.proxy.admission.quota_shares import QuotaShareTaker
+from willowpost.proxy.admission.admission_tokens import AdmissionTokenClient, AdmissionTokenWanted
+from willowpost.proxy.admission.quota_share_client import QuotaShareClient
 from willowpost.proxy.proxy_state import ProxyState
-from willowpost.proxy.routing.snapshot import RoutingSnapshot, ServiceCard
+from willowpost.proxy.routing.snapshot import RoutableService, RoutingSnapshot
 from willowpost.state.entries import Ownership
 from willowpost.state.operations import EndOrigin
 from willowpost.state.tables import Tables
@@ -83,7 +83,7 @@
 
     def read(self, store):
         """The first request, and the moment it was sent."""
-        for now in range(0, SECOND, 20 * MILLI):
+        for now in range(0, SECOND, 20 * MILLISECOND):
             sends = store.step(Tick(), now).sends
             if any(isinstance(message, QuorumReadRequest) for _, message in sends):
                 return first_sent(sends, QuorumReadRequest), now
@@ -94,13 +94,13 @@
         store = self.store(SECOND_INCARNATION)
         _, now = self.read(store)
         # B responded before it accepted another command with C
-        store.step(Received("B:1", QuorumReadResponse(old.nonce, "B", 0)), now + MILLI)
+        store.step(Received("B:1", QuorumReadResponse(old.nonce, "B", 0)), now + MILLISECOND)
         self.assertIsNone(store.node_state.fresh_as_of)
 
     def test_an_answer_to_its_own_request_counts(self):
         store = self.store(SECOND_INCARNATION)
         request, now = self.read(store)
-        store.step(Received("B:1", QuorumReadResponse(request.nonce, "B", 0)), now + MILLI)
+        store.step(Received("B:1", QuorumReadResponse(request.nonce, "B", 0)), now + MILLISECOND)
         self.assertEqual(now, store.node_state.fresh_as_of)
 
 
@@ -113,7 +113,7 @@
     def test_a_state_update_for_the_incarnation_before_makes_nothing_fresh(self):
         _, old = self.polled(FIRST)
         follower, _ = self.polled(SECOND_INCARNATION)
-        follower.step(Received("A:1", StateUpdate(old.nonce, 5, 0, True)), SECOND + MILLI)
+        follower.step(Received("A:1", StateUpdate(old.nonce, 5, 0, True)), SECOND + MILLISECOND)
         self.assertIsNone(follower.node_state.fresh_as_of)
 
     def read(self, incarnation):
@@ -126,33 +126,38 @@
         reads, request = self.read(SECOND_INCARNATION)
         for name in "AB":
             reads.step(
-                Received(f"{name}:1", QuorumReadResponse(old.nonce, name, 5)), SECOND + MILLI
+                Received(f"{name}:1", QuorumReadResponse(old.nonce, name, 5)), SECOND + MILLISECOND
             )
         self.assertIsNone(reads.node_state.fresh_as_of)
         for name in "AB":
             reads.step(
-                Received(f"{name}:1", QuorumReadResponse(request.nonce, name, 5)), SECOND + MILLI
+                Received(f"{name}:1", QuorumReadResponse(request.nonce, name, 5)),
+                SECOND + MILLISECOND,
             )
         self.assertEqual(SECOND, reads.node_state.fresh_as_of)
 
 
 class Admission(unittest.TestCase):
     def share(self, incarnation):
-        service = ServiceCard(1000, 10, ("p/proxy",), {"p/proxy": 1.0}, ())
-        taker = QuotaShareTaker(proxy_state(incarnation, service))
+        service = RoutableService(1000, 10, ("p/proxy",), {"p/proxy": 1.0}, ())
+        taker = QuotaShareClient(proxy_state(incarnation, service))
         return taker, first_sent(taker.step(Tick(), SECOND).sends, QuotaShareRequest)
 
     def test_a_grant_to_the_incarnation_before_is_not_prolonged(self):
         _, old = self.share(FIRST)
         taker, request = self.share(SECOND_INCARNATION)
-        taker.step(Received("o:1", QuotaShareResponse(old.nonce, "g", 1, 9000)), SECOND + MILLI)
+        taker.step(
+            Received("o:1", QuotaShareResponse(old.nonce, "g", 1, 9000)), SECOND + MILLISECOND
+        )
         self.assertEqual({}, taker.node_state.grants)
         # nor one for another service than that of the request
-        taker.step(Received("o:1", QuotaShareResponse(request.nonce, "h", 1, 9000)), SECOND + MILLI)
+        taker.step(
+            Received("o:1", QuotaShareResponse(request.nonce, "h", 1, 9000)), SECOND + MILLISECOND
+        )
         self.assertEqual({}, taker.node_state.grants)
 
     def wanted(self, incarnation):
-        taker = AdmissionTokenTaker(proxy_state(incarnation))
+        taker = AdmissionTokenClient(proxy_state(incarnation))
         return taker, first_sent(
             taker.step(AdmissionTokenWanted("ticket", "g"), SECOND).sends, AdmissionTokenRequest
         )
--- a/tests/platform_adapter/test_configuration_translation.py
+++ b/tests/platform_adapter/test_configuration_translation.py
@@ -21,8 +21,8 @@
 from tests.support.registry_world import World
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.configuration.routes import routes_of
-from willowpost.registry.calls.configurations import NumberedCall
-from willowpost.shell.web import Answer, Call
+from willowpost.registry.api.configurations import NumberedConfiguration
+from willowpost.shell.web import Request, Response
 from willowpost.state.configuration_changes import MAX_VERSION
 
 SETTINGS = """
@@ -248,7 +248,7 @@
         held = translated(value).unwrap()
         checked = ConfigurationChecker().check_value(held["configuration"])
         self.assertTrue(checked.is_ok(), checked)
-        NumberedCall.model_validate(held)
+        NumberedConfiguration.model_validate(held)
         return held, {route.path: route for route in routes_of(checked.unwrap())}
 
     def test_an_ordinary_one(self):
@@ -519,7 +519,7 @@
     """Each call of an origin or an operator, and what becomes of the product's answer."""
 
     def setUp(self):
-        self.asked, self.answer = [], Answer(200, {})
+        self.asked, self.answer = [], Response(200, {})
         paths = [
             ("POST", "/v1/origins/beat"),
             ("POST", "/v1/origins/leave"),
@@ -552,7 +552,7 @@
             if value is None
             else json.dumps(value).encode()
         )
-        return self.routes[path](Call("POST", path, query, {}, body))
+        return self.routes[path](Request("POST", path, query, {}, body))
 
     BEAT = {
         "service": "s1",
@@ -609,11 +609,11 @@
         )
 
     def test_a_configuration_comes_back_as_it_came(self):
-        self.answer = Answer(
+        self.answer = Response(
             200, {"version": 7, "configuration": {}, "source": json.dumps(configuration())}
         )
         self.assertEqual(configuration(), self.rpc("call=configuration.read").value)
-        self.answer = Answer(200, {"version": 0, "configuration": None})
+        self.answer = Response(200, {"version": 0, "configuration": None})
         self.assertEqual(404, self.rpc("call=configuration.read").code)
 
     def test_a_success_is_told_only_where_there_was_one(self):
@@ -626,13 +626,13 @@
             ("", {"tag": "t"}, "/v1/purge"),
         ]
         for code, told in ((504, 503), (503, 503), (500, 503), (409, 409), (404, 404)):
-            self.answer = Answer(code, {"reject": "x"}, (("Retry-After", "2"),))
+            self.answer = Response(code, {"reject": "x"}, (("Retry-After", "2"),))
             for query, value, path in orders:
                 held = self.rpc(query, value, path)
                 self.assertEqual(told, held.code, query)
                 after = dict(held.headers).get("Retry-After")
                 self.assertEqual(told == 503, after is not None and 0 < float(after) < 1)
-        self.answer = Answer(422, {"findings": []})
+        self.answer = Response(422, {"findings": []})
         # for the operator 422 would be the end
         self.assertEqual(503, self.rpc("call=configuration.replace", configuration()).code)
 
@@ -670,7 +670,7 @@
             self.assertEqual(
                 200, self.rpc("call=instances.heartbeat&of=i", {**self.BEAT, **odd}).code, odd
             )
-        self.answer = Answer(200, {"origin": "o", "state": "warm", "home": "10.1.1.1:80"})
+        self.answer = Response(200, {"origin": "o", "state": "warm", "home": "10.1.1.1:80"})
         self.assertEqual(
             {"heartbeat_target": "10.1.1.1:80"},
             self.rpc("call=instances.heartbeat&of=i", self.BEAT).value,
@@ -683,12 +683,12 @@
     def replaced(self, first, version, **route):
         words = ControlWords(self.fronts[first].routes(), ConfigurationTranslator(), None)
         value = configuration(route, version=version)
-        call = Call("POST", "/v1/rpc", "", {}, json.dumps(value).encode())
+        call = Request("POST", "/v1/rpc", "", {}, json.dumps(value).encode())
         return words.replace(call, "").code
 
     def read(self):
         words = ControlWords(self.fronts[1].routes(), ConfigurationTranslator(), None)
-        return words.read(Call("POST", "/v1/rpc", "", {}), "").value
+        return words.read(Request("POST", "/v1/rpc", "", {}), "").value
 
     def test_one_number_is_confirmed_for_one_content_and_its_repeat_is_never_refused(self):
         for _ in range(2):
--- a/tests/platform_adapter/test_translation_boundary.py
+++ b/tests/platform_adapter/test_translation_boundary.py
@@ -94,17 +94,17 @@
 # the product's own names that a translation may call on: how it is started, what it is told, and
 # what it answers with
 MAY_IMPORT = {
-    "willowpost.shell.starting",
+    "willowpost.shell.startup_signals",
     "willowpost.shell.web",
     "willowpost.shell.structured_log",
-    "willowpost.shell.fields",
+    "willowpost.shell.field_reader",
     "willowpost.shell.process_settings",
     "willowpost.shell.serving",
     "willowpost.common.events",
     "willowpost.common.digest",
     "willowpost.proxy.daemon",
-    "willowpost.proxy.front",
-    "willowpost.proxy.routing.words",
+    "willowpost.proxy.frontend",
+    "willowpost.proxy.routing.header_names",
     "willowpost.registry.daemon",
     "willowpost.store.daemon",
 }
--- a/tests/proxy/admission/test_owner_restart_fencing.py
+++ b/tests/proxy/admission/test_owner_restart_fencing.py
@@ -5,10 +5,10 @@
 from unittest.mock import patch
 
 from tests.support.entries import daemon_entry
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.node.follower import Follower
-from willowpost.node.node_state import LEASE, DaemonDescriptor, NodeState
+from willowpost.node.node_state import LEASE_US, DaemonDescriptor, NodeState
 from willowpost.proxy.admission.admission_tokens import AdmissionTokenOwner
 from willowpost.proxy.admission.quota_share_owner import OWNERSHIP_WAIT_US, QuotaShareOwner
 from willowpost.proxy.proxy_state import ProxyState
@@ -60,16 +60,16 @@
 
     def test_after_a_fresh_read_it_waits_for_grants_of_its_previous_incarnation(self):
         node_state, share_owner = self.restarted()
-        node_state.confirm_as_of(SECOND + OWNERSHIP_WAIT_US)
-        self.assertEqual([], self.granted(share_owner, SECOND + OWNERSHIP_WAIT_US - MILLI))
+        node_state.confirm_fresh(SECOND + OWNERSHIP_WAIT_US)
+        self.assertEqual([], self.granted(share_owner, SECOND + OWNERSHIP_WAIT_US - MILLISECOND))
         self.assertEqual(1, len(self.granted(share_owner, SECOND + OWNERSHIP_WAIT_US)))
 
     def test_under_another_fence_or_after_a_freeze_it_grants_nothing(self):
         node_state, share_owner = self.restarted()
-        node_state.confirm_as_of(10 * SECOND)
+        node_state.confirm_fresh(10 * SECOND)
         self.assertEqual([], self.granted(share_owner, 10 * SECOND, FENCE - 1))
-        self.assertEqual(1, len(self.granted(share_owner, 10 * SECOND + LEASE)))
-        self.assertEqual([], self.granted(share_owner, 10 * SECOND + LEASE + 1))
+        self.assertEqual(1, len(self.granted(share_owner, 10 * SECOND + LEASE_US)))
+        self.assertEqual([], self.granted(share_owner, 10 * SECOND + LEASE_US + 1))
 
     def test_without_the_lease_it_would_grant_by_old_tables(self):
         _, share_owner = self.restarted()
@@ -82,18 +82,18 @@
         ask = AdmissionTokenRequest(1, "g", fence, "")
         ((_, answer),) = tokens.step(Received("q:1", ask), now).sends
         self.assertIsInstance(answer, AdmissionTokenResponse)
-        return answer.given
+        return answer.is_granted
 
     def test_tokens_come_under_the_same_guards(self):
         node_state, share_owner = owner(rate=0.5)
         share_owner.step(Tick(), SECOND)
         tokens = AdmissionTokenOwner(node_state, share_owner)
         self.assertFalse(self.given(tokens, 60 * SECOND), "no read of this incarnation")
-        node_state.confirm_as_of(60 * SECOND)
+        node_state.confirm_fresh(60 * SECOND)
         self.assertFalse(self.given(tokens, 60 * SECOND, FENCE - 1), "another fence")
         self.assertTrue(self.given(tokens, 60 * SECOND))
         self.assertFalse(self.given(tokens, 64 * SECOND), "the lease has run out")
-        node_state.confirm_as_of(64 * SECOND)
+        node_state.confirm_fresh(64 * SECOND)
         self.assertTrue(self.given(tokens, 64 * SECOND))
 
 
@@ -106,8 +106,8 @@
         updates = []
         for now in (SECOND, 2 * SECOND):
             ((_, update),) = source.step(Received("q:1", Poll(1, 9)), now).sends
-            updates.append((update.fresh, update.age))
-            node_state.confirm_as_of(SECOND)
+            updates.append((update.is_fresh, update.age_us))
+            node_state.confirm_fresh(SECOND)
         self.assertEqual([(False, 0), (True, SECOND)], updates)
 
     def test_a_claim_under_a_fence_that_moved_on_is_refused(self):
--- a/tests/proxy/admission/test_retry_budget.py
+++ b/tests/proxy/admission/test_retry_budget.py
@@ -6,8 +6,9 @@
 from gevent import socket
 
 from willowpost.proxy.admission.retry_budget import RetryBudget, RetryBudgetSettings
+from willowpost.proxy.origin.errors import ExchangeError
 from willowpost.proxy.origin.exchange import Exchange
-from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.request import OriginRequest
 from willowpost.sim.retry_arrivals import PART, SLACK, WINDOW, RetryArrivals, Scenario
 
 SECOND = 1_000_000
@@ -75,8 +76,8 @@
         exchange = Exchange(address)
         exchange.connect()
         accepted, _ = server.accept()
-        with self.assertRaises(ExchangeFailure):
-            exchange.run("GET", "/", [("host", "h")], b"", 0.05, 1000)
+        with self.assertRaises(ExchangeError):
+            exchange.run(OriginRequest("GET", "/", [("host", "h")], b""), 0.05, 1000)
         exchange.close()
         gevent.sleep(0)
         with self.assertRaises(ConnectionResetError):
@@ -97,7 +98,7 @@
         exchange.connect()
         accepted, _ = server.accept()
         accepted.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-        answer = exchange.run("GET", "/", [("host", "h")], b"", 1.0, 1000)
+        answer = exchange.run(OriginRequest("GET", "/", [("host", "h")], b""), 1.0, 1000)
         exchange.close()
         self.assertEqual(200, answer.status)
         self.assertTrue(accepted.recv(65536))
--- a/tests/proxy/cache/test_purge_by_tag.py
+++ b/tests/proxy/cache/test_purge_by_tag.py
@@ -8,13 +8,14 @@
 from dataclasses import replace
 from unittest.mock import patch
 
-from willowpost.proxy.cache.store import CacheStore, Entry
+from willowpost.proxy.cache.entry import CacheEntry
+from willowpost.proxy.cache.store import CacheStore
 from willowpost.state.entries import Purge
 from willowpost.state.tables import Tables
 
 
 def entry(path, tags=(), slot=5, body=b"x" * 10):
-    return Entry("h", path, (), 200, (), body, 0, 10**9, slot, tags=tuple(tags))
+    return CacheEntry("h", path, (), 200, (), body, 0, 10**9, slot, tags=tuple(tags))
 
 
 def purges(*made):
@@ -32,7 +33,7 @@
 
     def test_a_tag_takes_all_that_carry_it_and_nothing_else(self):
         for path, tags in (("/1", ("a", "b")), ("/2", ("b",)), ("/3", ("c",)), ("/4", ())):
-            self.cache.keep(entry(path, tags))
+            self.cache.store(entry(path, tags))
         self.cache.purge(Tables(slot=7, epoch=1, purges=purges((6, "tag", "b"))))
         self.assertEqual(
             [True, True, False, False],
@@ -41,20 +42,20 @@
 
     def test_an_answer_whose_fetch_began_before_the_purge_is_not_kept(self):
         self.cache.purge(Tables(slot=7, epoch=1, purges=purges((6, "tag", "b"))))
-        self.assertFalse(self.cache.keep(entry("/1", ("b",), slot=6)))
-        self.assertTrue(self.cache.keep(entry("/1", ("b",), slot=7)))
-        self.assertTrue(self.cache.keep(entry("/2", ("a",), slot=6)))
+        self.assertFalse(self.cache.store(entry("/1", ("b",), slot=6)))
+        self.assertTrue(self.cache.store(entry("/1", ("b",), slot=7)))
+        self.assertTrue(self.cache.store(entry("/2", ("a",), slot=6)))
 
     def test_an_object_that_lost_its_tag_is_not_taken_by_it(self):
-        self.cache.keep(entry("/1", ("a",)))
-        self.cache.keep(entry("/1", ("b",)))
+        self.cache.store(entry("/1", ("a",)))
+        self.cache.store(entry("/1", ("b",)))
         self.cache.purge(Tables(slot=7, epoch=1, purges=purges((6, "tag", "a"))))
         self.assertIsNotNone(self.find("/1"))
 
     def test_the_index_of_tags_holds_what_is_kept_and_no_more(self):
         chance = random.Random(7)
         for _number in range(2000):
-            self.cache.keep(
+            self.cache.store(
                 entry(
                     f"/{chance.randrange(60)}",
                     {f"t{chance.randrange(9)}" for _ in range(2)},
@@ -82,7 +83,7 @@
         chance, made = random.Random(3), []
         for slot in range(6, 300):
             kept = entry(f"/{chance.randrange(30)}", (f"t{chance.randrange(5)}",), slot=slot)
-            self.cache.keep(kept)
+            self.cache.store(kept)
             made.append(
                 (
                     slot,
--- a/tests/proxy/caller/test_caller_disconnects.py
+++ b/tests/proxy/client/test_caller_disconnects.py
@@ -14,7 +14,7 @@
 
 from tests.support.entries import daemon_entry
 from tests.support.served import ScriptedOrigin, ServedProxy, answer
-from willowpost.proxy.caller.stall_detector import STALL_SECONDS
+from willowpost.proxy.client.stall_detector import STALL_SECONDS
 from willowpost.proxy.routing.snapshot import RoutingSnapshot
 from willowpost.state.tables import Tables
 
@@ -79,7 +79,7 @@
     def served(self, *origins, **more):
         self.origins = origins
         self.proxy = ServedProxy(*origins, configuration=CONFIGURATION, **more)
-        self.proxy.set_origins(origins, named=True)
+        self.proxy.set_origins(origins, checks_incarnation=True)
         self.addCleanup(self.proxy.stop)
         self.prefer(0)
         return self.proxy
@@ -87,9 +87,9 @@
     def prefer(self, number):
         """Makes one origin the first choice."""
         for other, origin in enumerate(self.origins):
-            self.proxy.front.carrier.tries.origins.load[origin.address + "@1"] = (
-                0 if other == number else 50
-            )
+            self.proxy.front.executor.attempts.resources.origin_selector.in_flight[
+                origin.address + "@1"
+            ] = 0 if other == number else 50
 
     def sends(self, text, proxy=None):
         caller = socket.create_connection((proxy or self.proxy).address, timeout=5)
@@ -113,7 +113,7 @@
         return [request for origin in self.origins for request in origin.requests]
 
     def violations(self):
-        return sum(self.proxy.front.carrier.tries.outgoing.violations.values())
+        return sum(self.proxy.front.executor.attempts.resources.outgoing.violations.values())
 
     def tearDown(self):
         gevent.sleep(0.05)
@@ -155,8 +155,8 @@
         origin = PatientOrigin(answer())
         proxy = self.served(origin)
         tokens = gevent.event.Event()
-        tries = proxy.front.carrier.tries
-        tries._granted = lambda *_: tokens.wait(UNTIL)
+        origin_admission = proxy.front.executor.attempts.origin_attempts.origin_admission
+        origin_admission._is_granted = lambda *_: tokens.wait(UNTIL)
         caller = self.sends(self.get("/again/1"))
         self.assertTrue(until(lambda: proxy.front.in_flight))
         caller.close()
@@ -250,7 +250,9 @@
         origin = PatientOrigin(answer())
         proxy = self.served(origin)
         tokens = gevent.event.Event()
-        proxy.front.carrier.tries._granted = lambda *_: tokens.wait(UNTIL)
+        proxy.front.executor.attempts.origin_attempts.origin_admission._is_granted = lambda *_: (
+            tokens.wait(UNTIL)
+        )
         caller = self.sends(self.get("/once/1", b"x", "POST"))
         self.assertTrue(until(lambda: proxy.front.in_flight))
         caller.close()
--- a/tests/proxy/origin/test_exchange.py
+++ b/tests/proxy/origin/test_exchange.py
@@ -16,10 +16,11 @@
 
 from tests.support.scripted_proxy import Scripted, echoed, head, sealed
 from tests.support.served import ScriptedOrigin, answer
+from willowpost.proxy.origin.errors import ExchangeError
 from willowpost.proxy.origin.exchange import Exchange
-from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.request import OriginRequest
 from willowpost.proxy.origin.response_reader import ResponseReader
-from willowpost.shell.probe import probe_status
+from willowpost.shell.health_check import fetch_status
 
 SOURCES = Path(__file__).parents[3] / "src" / "willowpost"
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER that makes close() a reset
@@ -52,7 +53,7 @@
             with self.subTest(cut=cut):
                 proxy = self.served((sealed(),), (sealed(),))
                 self.origins = [CutOrigin(whole, cut, cut % 2) for _ in range(2)]
-                proxy.set_origins(self.origins, named=True, sealed=True)
+                proxy.set_origins(self.origins, checks_incarnation=True, requires_seal=True)
                 code, body, headers = proxy.ask("POST", "/once/1", b"x", wp_request="n1")
                 self.assertEqual(1, len(self.asked()))
                 if code == 200:
@@ -81,7 +82,9 @@
         ):
             with self.subTest(broken=broken):
                 proxy = self.served((broken,), (sealed(),))
-                proxy.front.carrier.tries.origins.load[self.origins[1].address + "@1"] = 50
+                proxy.front.executor.attempts.resources.origin_selector.in_flight[
+                    self.origins[1].address + "@1"
+                ] = 50
                 task = gevent.spawn(
                     proxy.ask, "POST", "/once/1", b"x", wp_request="n1", wp_left="300"
                 )
@@ -116,8 +119,10 @@
         proxy = self.served((sealed(),))
         refusing = EarlyOrigin(answer(b"", "503 Full", wp_request="n1", wp_not_run="1"))
         taking = ScriptedOrigin(sealed(b"done"))
-        proxy.set_origins([refusing, taking], named=True, sealed=True)
-        proxy.front.carrier.tries.origins.load[taking.address + "@1"] = 50
+        proxy.set_origins([refusing, taking], checks_incarnation=True, requires_seal=True)
+        proxy.front.executor.attempts.resources.origin_selector.in_flight[taking.address + "@1"] = (
+            50
+        )
         body = b"x" * 900_000
         with mock.patch.object(proxy.front, "body_limit_bytes", lambda asked: 10**7):
             code, said, _ = proxy.ask("POST", "/once/1", body, wp_request="n1")
@@ -130,7 +135,9 @@
         unasked = b"HTTP/1.1 304 Not Modified\r\nWp-Request: n1\r\n\r\n"
         for path in ("/again/1", "/kept/1"):
             proxy = self.served((unasked,), (sealed(b"right"),))
-            proxy.front.carrier.tries.origins.load[self.origins[1].address + "@1"] = 50
+            proxy.front.executor.attempts.resources.origin_selector.in_flight[
+                self.origins[1].address + "@1"
+            ] = 50
             self.assertEqual((200, b"right"), proxy.ask("GET", path, wp_request="n1")[:2])
 
     def test_a_304_about_another_version_does_not_renew_the_copy(self):
@@ -291,15 +298,15 @@
         exchange = Exchange(origin.address)
         exchange.connect(1.0)
         self.addCleanup(exchange.close)
-        found = exchange.run("GET", "/a", [("wp-request", "n1")], b"", 1.0, 1000)
+        found = exchange.run(OriginRequest("GET", "/a", [("wp-request", "n1")], b""), 1.0, 1000)
         self.assertEqual((200, b"ok"), (found.status, found.body))
-        self.assertEqual(200, probe_status(origin.address, "/health", 1.0))
+        self.assertEqual(200, fetch_status(origin.address, "/health", 1.0))
 
     def test_an_address_that_is_none_has_sent_nothing(self):
         for address in ("127.0.0.1:99999", "127.0.0.1:x", "127.0.0.1:1"):
-            with self.subTest(address=address), self.assertRaises(ExchangeFailure) as raised:
+            with self.subTest(address=address), self.assertRaises(ExchangeError) as raised:
                 Exchange(address).connect(0.5)
-            self.assertFalse(raised.exception.sent)
+            self.assertFalse(raised.exception.was_sent)
 
 
 class Library(unittest.TestCase):
@@ -326,16 +333,16 @@
         for script, status in self.SCRIPTS:
             with self.subTest(script=script):
                 origin = ScriptedOrigin(script)
-                self.assertEqual(status, probe_status(origin.address, "/health", 1.0))
+                self.assertEqual(status, fetch_status(origin.address, "/health", 1.0))
                 self.assertEqual((1, 1), (len(origin.requests), origin.opened))
 
     def test_nobody_there_and_silence_are_no_status(self):
         origin = ScriptedOrigin(answer())
         origin.hold = lambda request: gevent.event.Event().wait()
-        self.assertIsNone(probe_status(origin.address, "/health", 0.05))
+        self.assertIsNone(fetch_status(origin.address, "/health", 0.05))
         origin.server.stop()
-        self.assertIsNone(probe_status(origin.address, "/health", 0.05))
-        self.assertIsNone(probe_status("no address:x", "/health", 0.05))
+        self.assertIsNone(fetch_status(origin.address, "/health", 0.05))
+        self.assertIsNone(fetch_status("no address:x", "/health", 0.05))
 
     def test_the_packages_client_would_send_it_again(self):
         origin = ScriptedOrigin(None)
--- a/tests/proxy/origin/test_exchange_fuzz.py
+++ b/tests/proxy/origin/test_exchange_fuzz.py
@@ -13,14 +13,15 @@
 from hypothesis import strategies as st
 
 from tests.support.scripted_proxy import Scripted, echoed, head, sealed
-from willowpost.proxy.caller.response_queue import INTERIM_RESPONSE as INTERIM_ANSWER
-from willowpost.proxy.origin.answer import Echo
+from willowpost.proxy.client.response_queue import INTERIM_RESPONSE as INTERIM_ANSWER
+from willowpost.proxy.origin.errors import ExchangeError
 from willowpost.proxy.origin.exchange import Exchange
-from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.request import OriginRequest
+from willowpost.proxy.origin.response import RequestIdEcho
 from willowpost.proxy.origin.response_reader import MAX_SKIPPED_RESPONSES
 
 ID = "mine"
-ECHO = Echo("wp-request", ID)
+ECHO = RequestIdEcho("wp-request", ID)
 REPEATED = settings(derandomize=True, deadline=None, database=None, max_examples=1000)
 SERVED = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 WHOLE_MAX = 300
@@ -130,13 +131,13 @@
     """(answer, its whole body, exchange, connection), or the failure in place of the answer."""
     connection = StreamOfBytes(script.blocks(), script.end, script.send_breaks)
     exchange = Exchange("127.0.0.1:1", connection)
-    exchange.reused = script.reused
+    exchange.is_reused = script.reused
     try:
-        answer = exchange.run("POST", "/a", [], b"b" * 10, 5.0, WHOLE_MAX, ECHO)
-    except ExchangeFailure as failure:
+        answer = exchange.run(OriginRequest("POST", "/a", [], b"b" * 10), 5.0, WHOLE_MAX, ECHO)
+    except ExchangeError as failure:
         return failure, None, exchange, connection
     try:
-        body = answer.body if answer.rest is None else b"".join(answer.rest)
+        body = answer.body if answer.stream is None else b"".join(answer.stream)
     except Exception:
         body = None  # broke off, and is seen to
     return answer, body, exchange, connection
@@ -147,19 +148,19 @@
     @given(scripts())
     def test_an_answer_is_ours_to_the_byte_or_a_failure_that_says_sent(self, script):
         found, body, exchange, connection = run(script)
-        if isinstance(found, ExchangeFailure):
-            self.assertTrue(found.sent)
-            self.assertTrue(found.ran)
+        if isinstance(found, ExchangeError):
+            self.assertTrue(found.was_sent)
+            self.assertTrue(found.may_have_executed)
             self.assertIsNone(script.ours, "a whole answer of ours was lost")
-            self.assertFalse(exchange.reusable)
+            self.assertFalse(exchange.is_reusable)
             return
         if body is not None:
             self.assertEqual(script.ours, (found.status, body))
         else:
             self.assertIsNone(script.ours)
-        if found.rest is None:
+        if found.stream is None:
             # bytes that have not come yet are for the pool to see, before it gives the connection out
-            if exchange.reusable:
+            if exchange.is_reusable:
                 self.assertTrue(script.clean or (script.late and connection.blocks))
             else:
                 self.assertFalse(script.clean)
@@ -171,10 +172,10 @@
     def test_no_answer_of_another_passes_on_a_reused_connection(self, name, body, cut):
         data = framed(200, body, name, False)
         script = Script(data, None, 1, False, False, "close", (cut,), True, False)
-        self.assertIsInstance(run(script)[0], ExchangeFailure)
+        self.assertIsInstance(run(script)[0], ExchangeError)
 
     def test_with_the_id_unchecked_the_fuzzer_finds_it(self):
-        class Blind(Echo):
+        class Blind(RequestIdEcho):
             __slots__ = ()
 
             def names_other_request(self, headers):
@@ -184,9 +185,9 @@
         script = Script(theirs, None, 1, False, False, "close", (), False, False)
         connection = StreamOfBytes(script.blocks(), script.end)
         exchange = Exchange("127.0.0.1:1", connection)
-        exchange.reused = False
+        exchange.is_reused = False
         blind = Blind("wp-request", ID)
-        held = exchange.run("GET", "/a", [], b"", 5.0, WHOLE_MAX, blind)
+        held = exchange.run(OriginRequest("GET", "/a", [], b""), 5.0, WHOLE_MAX, blind)
         self.assertEqual(b"theirs", held.body)
 
 
--- a/tests/proxy/origin/test_origin_picker.py
+++ b/tests/proxy/origin/test_origin_picker.py
@@ -5,9 +5,9 @@
 from collections import Counter
 from unittest.mock import patch
 
-from willowpost.proxy.origin.pick import OriginPicker
-from willowpost.proxy.origin.reports import MAX_REPORT_AGE_US
-from willowpost.proxy.routing.snapshot import OriginCard
+from willowpost.proxy.origin.load_reports import MAX_REPORT_AGE_US
+from willowpost.proxy.origin.selection import OriginSelector
+from willowpost.proxy.routing.snapshot import RoutableOrigin
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
 
@@ -45,7 +45,7 @@
     def test_a_slow_origin_is_picked_less_and_found_again(self):
         world = rushed()
         with_reports = part(spread(world, 15))
-        with patch.object(OriginPicker, "_load_penalties", lambda *args: {}):
+        with patch.object(OriginSelector, "_load_penalties", lambda *args: {}):
             without = part(spread(rushed(), 15))
         self.assertLess(with_reports, 0.7 * without)
         self.assertGreater(with_reports, 0)
@@ -54,11 +54,11 @@
         self.assertGreater(part(spread(world, 10)), 0.15)
 
     def test_one_that_comes_new_among_quick_ones_is_asked(self):
-        cards = [OriginCard(name, name, "a", 100, 10, False, slots=8) for name in "abc"]
-        pick = OriginPicker("a", random.Random(1))
+        cards = [RoutableOrigin(name, name, "a", 100, 10, False, slots=8) for name in "abc"]
+        selector = OriginSelector("a", random.Random(1))
         for now in range(100):
-            pick.answered("ab"[now % 2], 2000, "0,0,8", now * 1000)
-        picked = Counter(pick.pick(cards, None, (), 200_000)[0].name for _ in range(300))
+            selector.record_response("ab"[now % 2], 2000, "0,0,8", now * 1000)
+        picked = Counter(selector.rank(cards, None, (), 200_000)[0].name for _ in range(300))
         self.assertGreater(picked["c"], 30)
 
     def test_liars_harm_nobody_but_themselves(self):
@@ -71,36 +71,38 @@
                 self.assertLess(max(others), 1.6 * min(others))
 
     def test_heavy_answers_come_from_near(self):
-        cards = [OriginCard(zone, zone, zone, 100, 10, False, slots=8) for zone in "abc"]
-        pick = OriginPicker("a", regions={"a": "r", "b": "r", "c": "s"})
+        cards = [RoutableOrigin(zone, zone, zone, 100, 10, False, slots=8) for zone in "abc"]
+        selector = OriginSelector("a", regions={"a": "r", "b": "r", "c": "s"})
         for name, took in (("a", 50_000), ("b", 30_000), ("c", 20_000)):
-            pick.answered(name, took, "0,0,8", 0)
-        self.assertEqual("c", pick.pick(cards, None, (), 0)[0].name)
+            selector.record_response(name, took, "0,0,8", 0)
+        self.assertEqual("c", selector.rank(cards, None, (), 0)[0].name)
         self.assertEqual(
-            ["a", "b", "c"], [card.name for card in pick.pick(cards, None, (), 0, True)]
+            ["a", "b", "c"], [card.name for card in selector.rank(cards, None, (), 0, True)]
         )
 
     def test_one_that_was_slow_once_is_asked_again_after_a_while(self):
-        cards = [OriginCard(name, name, "a", 100, 10, False, slots=8) for name in "ab"]
-        pick = OriginPicker("a")
-        pick.answered("a", 900_000, "0,0,8", 0)
-        pick.answered("b", 30_000, "0,0,8", 0)
-        self.assertEqual({"b"}, {pick.pick(cards, None, (), 0)[0].name for _ in range(20)})
+        cards = [RoutableOrigin(name, name, "a", 100, 10, False, slots=8) for name in "ab"]
+        selector = OriginSelector("a")
+        selector.record_response("a", 900_000, "0,0,8", 0)
+        selector.record_response("b", 30_000, "0,0,8", 0)
+        self.assertEqual({"b"}, {selector.rank(cards, None, (), 0)[0].name for _ in range(20)})
         later = 20 * 1_000_000
-        pick.answered("b", 30_000, "0,0,8", later)
+        selector.record_response("b", 30_000, "0,0,8", later)
         self.assertEqual(
-            {"a", "b"}, {pick.pick(cards, None, (), later)[0].name for _ in range(200)}
+            {"a", "b"}, {selector.rank(cards, None, (), later)[0].name for _ in range(200)}
         )
 
     def test_stale_reports_count_for_nothing_and_no_report_outweighs_silence(self):
-        cards = [OriginCard(name, name, "a", 100, 10, False) for name in "abc"]
-        pick = OriginPicker("a", reports=lambda: {"a": (90, 0), "b": (0, 0)})
-        self.assertEqual("a", pick.pick(cards, None, (), MAX_REPORT_AGE_US)[-1].name)
-        firsts = Counter(pick.pick(cards, None, (), MAX_REPORT_AGE_US)[0].name for _ in range(200))
+        cards = [RoutableOrigin(name, name, "a", 100, 10, False) for name in "abc"]
+        selector = OriginSelector("a", reports=lambda: {"a": (90, 0), "b": (0, 0)})
+        self.assertEqual("a", selector.rank(cards, None, (), MAX_REPORT_AGE_US)[-1].name)
+        firsts = Counter(
+            selector.rank(cards, None, (), MAX_REPORT_AGE_US)[0].name for _ in range(200)
+        )
         # the idle one draws no more than the silent one
         self.assertGreater(min(firsts["b"], firsts["c"]), 50)
         lasts = Counter(
-            pick.pick(cards, None, (), MAX_REPORT_AGE_US + 1)[-1].name for _ in range(200)
+            selector.rank(cards, None, (), MAX_REPORT_AGE_US + 1)[-1].name for _ in range(200)
         )
         self.assertGreater(min(lasts[name] for name in "abc"), 30)
 
--- a/tests/proxy/routing/test_attempt_limits.py
+++ b/tests/proxy/routing/test_attempt_limits.py
@@ -107,7 +107,7 @@
                 task = gevent.spawn(self.ask, kind)
                 self.assertTrue(reached.wait(5))
                 change(proxy)
-                proxy.pool.keep_only(proxy.node_state.snapshot.origins)
+                proxy.pool.retain_only(proxy.node_state.snapshot.origins)
                 release.set()
                 status, body, headers = task.get(timeout=5)
                 self.assertEqual((200, b"whole", "s"), (status, body, headers["wp-seal"]))
--- a/tests/proxy/routing/test_denials.py
+++ b/tests/proxy/routing/test_denials.py
@@ -3,20 +3,19 @@
 import json
 import random
 import unittest
-from dataclasses import replace
 from unittest.mock import patch
 
 from tests.support.served import ServedProxy
 from willowpost.configuration.delta import (
     ConfigurationDelta,
+    apply_text_delta,
+    apply_tree_delta,
     text_delta,
     tree_delta,
-    with_text_delta,
-    with_tree_delta,
 )
 from willowpost.proxy.proxy_state import ProxyState
 from willowpost.proxy.routing.snapshot import RoutingSnapshot
-from willowpost.registry.calls.change_carrier import ChangeCarrier
+from willowpost.registry.api.proposal_encoder import ProposalEncoder
 from willowpost.sim.fleet.route_changes import RouteChanges
 from willowpost.state.apply.configurations import propose
 from willowpost.state.codec import encode_operation
@@ -103,19 +102,19 @@
             before = self.changed(chance, {f"w{number}": route(number) for number in range(40)})
             after = self.changed(chance, before)
             old, new = tree_of(before), tree_of(after)
-            self.assertEqual(new, with_tree_delta(old, tree_delta(old, new)))
+            self.assertEqual(new, apply_tree_delta(old, tree_delta(old, new)))
             base, text = document(before), document(after)
-            self.assertEqual(text, with_text_delta(base, text_delta(base, text)))
+            self.assertEqual(text, apply_text_delta(base, text_delta(base, text)))
 
     def test_values_of_another_type_are_other_values(self):
         for before, after in (({"a": 1}, {"a": True}), ({"a": {}}, {"a": 0}), ({}, {"a": None})):
-            self.assertEqual(repr(after), repr(with_tree_delta(before, tree_delta(before, after))))
+            self.assertEqual(repr(after), repr(apply_tree_delta(before, tree_delta(before, after))))
 
     def test_a_change_of_one_route_among_hundreds_is_a_small_operation(self):
         tables = self.accepted(Tables(epoch=1), self.proposal(1, ROUTES))
         proposal = self.proposal(2, ROUTES + 1)
         whole = len(json.dumps(encode_operation(proposal)))
-        carried = replace(proposal, **ChangeCarrier(proposal).fields(tables))
+        carried = ProposalEncoder(proposal).encode(tables)
         self.assertGreater(whole, 50_000)
         self.assertLess(len(json.dumps(encode_operation(carried))), 1_000)
         after, result = propose(tables, carried)
@@ -126,21 +125,21 @@
     def test_on_another_base_a_difference_is_superseded_and_the_whole_follows(self):
         tables = self.accepted(Tables(epoch=1), self.proposal(1, ROUTES))
         proposal, other = self.proposal(3, ROUTES + 1), self.proposal(2, ROUTES + 2)
-        carrier = ChangeCarrier(proposal)
-        carried = replace(proposal, **carrier.fields(tables))
+        encoder = ProposalEncoder(proposal)
+        carried = encoder.encode(tables)
         moved_on = self.accepted(tables, other)
         unchanged, result = propose(moved_on, carried)
         self.assertEqual((False, "superseded"), (result.is_accepted, result.reason))
         self.assertIs(moved_on, unchanged)
         for _ in range(3):
-            last = replace(proposal, **carrier.fields(tables))
+            last = encoder.encode(tables)
         self.assertEqual(proposal.tree, last.tree)
         self.assertTrue(propose(moved_on, last).result.is_accepted)
 
     def test_a_repeat_of_a_difference_is_acknowledged_by_its_content(self):
         tables = self.accepted(Tables(epoch=1), self.proposal(1, ROUTES))
         proposal = self.proposal(2, ROUTES + 1)
-        carried = replace(proposal, **ChangeCarrier(proposal).fields(tables))
+        carried = ProposalEncoder(proposal).encode(tables)
         after = propose(tables, carried).tables
         again, result = propose(after, carried)
         self.assertEqual((True, False), (result.is_accepted, result.is_changed))
@@ -149,7 +148,7 @@
     def test_sizes_are_of_the_difference(self):
         before, after = tree_of({"a": route(1)}), tree_of({"a": route(1), "b": route(2)})
         delta = ConfigurationDelta.between(before, None, after, None)
-        self.assertLess(delta.size(), 150)
+        self.assertLess(delta.size_bytes(), 150)
 
     def proposal(self, version, routes):
         branches = {f"w{number}": route(number) for number in range(routes)}
--- a/tests/proxy/routing/test_route_kinds.py
+++ b/tests/proxy/routing/test_route_kinds.py
@@ -11,7 +11,7 @@
 
 from tests.support.scripted_proxy import Scripted, sealed
 from tests.support.served import answer
-from willowpost.proxy.origin.pool import quiet
+from willowpost.proxy.origin.connection_pool import is_quiet
 
 
 class Once(Scripted):
@@ -20,7 +20,7 @@
             with self.subTest(status=status):
                 proxy = self.served((answer(b"", status, **headers),), (sealed(),))
                 # the other one is picked first
-                proxy.front.executor.attempts.resources.origin_selector.load[
+                proxy.front.executor.attempts.resources.origin_selector.in_flight[
                     self.origins[1].address + "@1"
                 ] = 50
                 self.assertEqual(200, proxy.ask("POST", "/once/1", b"x", wp_request="n1")[0])
@@ -84,7 +84,7 @@
         ):
             with self.subTest(script=script):
                 proxy = self.served((script,), (sealed(),))
-                proxy.front.executor.attempts.resources.origin_selector.load[
+                proxy.front.executor.attempts.resources.origin_selector.in_flight[
                     self.origins[1].address + "@1"
                 ] = 50
                 self.assertEqual((200, b"ok"), proxy.ask("GET", "/again/1", wp_request="n1")[:2])
@@ -183,7 +183,7 @@
 
 
 def pool_is_quiet(proxy):
-    return all(quiet(connection) for idle in proxy.pool.idle.values() for connection, _ in idle)
+    return all(is_quiet(connection) for idle in proxy.pool.idle.values() for connection, _ in idle)
 
 
 class Kept(Scripted):
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -7,19 +7,19 @@
 from gevent import socket
 
 from tests.support.served import ScriptedOrigin, ServedProxy, answer
-from willowpost.proxy.caller.lifetime import RequestLifetime
-from willowpost.proxy.figures import ProxyFigures
+from willowpost.proxy.client.lifetime import RequestLifetime
+from willowpost.proxy.metrics import ProxyMetrics
 from willowpost.proxy.outgoing import Invariant
 from willowpost.shell.metrics import MetricsPage
-from willowpost.shell.web import WebServer
+from willowpost.shell.web_server import WebServer
 
 
 class Page(unittest.TestCase):
     def setUp(self):
         self.proxy = ServedProxy(ScriptedOrigin(answer(b"ok", cache_control="no-store")))
         self.addCleanup(self.proxy.stop)
-        outgoing = self.proxy.front.carrier.tries.outgoing
-        self.page = MetricsPage(ProxyFigures(self.proxy.front, self.proxy.node_state, outgoing))
+        outgoing = self.proxy.front.executor.attempts.resources.outgoing
+        self.page = MetricsPage(ProxyMetrics(self.proxy.front, self.proxy.node_state, outgoing))
 
     def figure(self, text, name):
         lines = [line for line in text.splitlines() if line.startswith(f"willowpost_{name} ")]
@@ -53,7 +53,7 @@
 
     def test_a_violation_is_counted_and_logged(self):
         state, origin = self.proxy.node_state, ScriptedOrigin(answer(b"ok"))
-        outgoing = self.proxy.front.carrier.tries.outgoing
+        outgoing = self.proxy.front.executor.attempts.resources.outgoing
         lines = []
         outgoing.log = lambda *words, **fields: lines.append((words, fields))
         self.proxy.set_origins([origin])
@@ -81,8 +81,8 @@
     def test_the_library_is_loaded_at_the_first_fetch(self):
         code = """import sys, willowpost.proxy.daemon
 assert "prometheus_client" not in sys.modules
-from willowpost.shell.metrics import Figure, MetricsPage
-text = MetricsPage(lambda: [Figure("x", "X.", {"": 1})]).text()
+from willowpost.shell.metrics import Metric, MetricsPage
+text = MetricsPage(lambda: [Metric("x", "X.", {"": 1})]).text()
 assert b"willowpost_x 1.0" in text and "prometheus_client" in sys.modules"""
         subprocess.run([sys.executable, "-c", code], check=True)
 
--- a/tests/proxy/test_request_handling.py
+++ b/tests/proxy/test_request_handling.py
@@ -106,7 +106,7 @@
 
     def test_without_the_instance_check_it_would_get_it(self):
         origin = ScriptedOrigin(answer(b"", Wp_Token="token-of-another"))
-        with patch.object(Exchange, "instance_check", lambda *args: None):
+        with patch.object(Exchange, "check_instance", lambda *args: None):
             self.proxy(origin).ask("POST", "/w/1", b"x")
         self.assertEqual([b"/w/1"], [request.split()[1] for request in origin.requests])
 
@@ -121,13 +121,13 @@
     def test_a_request_reject_after_its_instance_check_sent_nothing(self):
         """The lease is looked at after the instance check, however long that took."""
         proxy = self.proxy(origin := ScriptedOrigin(self.mine))
-        instance_check = Exchange.instance_check
+        instance_check = Exchange.check_instance
 
         def slow(exchange, *args):
             instance_check(exchange, *args)
             proxy.clock.time += 2_000_000
 
-        with patch.object(Exchange, "instance_check", slow):
+        with patch.object(Exchange, "check_instance", slow):
             self.assertEqual(
                 (503, "not-run"),
                 (*(held := proxy.ask("POST", "/w/1", b"x"))[0:1], held[2]["wp-outcome"]),
@@ -302,13 +302,13 @@
     def test_a_freeze_between_the_plan_and_the_first_byte_rejects_the_write(self):
         origin = ScriptedOrigin(answer())
         proxy = ServedProxy(origin)
-        take = proxy.allowance.let_in
+        take = proxy.quota_admission.admit
 
         def freeze(*args):
             proxy.clock.time += 5_000_000
             return take(*args)
 
-        proxy.front.carrier.tries.allowance = type("Frozen", (), {"let_in": staticmethod(freeze)})()
+        proxy.quota_admission.admit = freeze
         code, _, headers = proxy.ask("POST", "/w/1", b"x")
         self.assertEqual((503, "not-run"), (code, headers["wp-outcome"]))
         self.assertEqual([], origin.requests)
@@ -318,7 +318,7 @@
         proxy = ServedProxy(origin)
         proxy.ask("GET", "/a")
         proxy.set_origins([])
-        proxy.pool.keep_only(proxy.node_state.snapshot.origins)
+        proxy.pool.retain_only(proxy.node_state.snapshot.origins)
         self.assertEqual(503, proxy.ask("GET", "/a")[0])
         self.assertEqual({}, proxy.pool.idle)
         self.assertEqual(1, len(origin.requests))
--- a/tests/registry/test_configuration_order_histories.py
+++ b/tests/registry/test_configuration_order_histories.py
@@ -18,7 +18,7 @@
 from willowpost.registry.api.configurations import ConfigurationRoutes
 from willowpost.registry.api.log_client import LogClient
 from willowpost.registry.api.responses import outcome_unknown
-from willowpost.shell.web import Call
+from willowpost.shell.web import Request
 from willowpost.state.results import Reason, Rejected
 from willowpost.state.tables import tables_from
 
@@ -100,7 +100,7 @@
     def send(self, order, registry, fate="answered"):
         registry = self.registries[registry]
         registry.fate = fate
-        call = Call(
+        call = Request(
             order.method, order.path, "", dict(order.headers), json.dumps(order.value).encode()
         )
         answer = registry.handlers[order.method, order.path](call)
@@ -198,7 +198,7 @@
     @rule(at=REGISTRIES)
     def read(self, at):
         answer = self.registries[at].handlers["GET", "/v1/configuration"](
-            Call("GET", "/v1/configuration", "", {})
+            Request("GET", "/v1/configuration", "", {})
         )
         if answer.value["version"] in self.contents:
             expected = self.contents[answer.value["version"]]
--- a/tests/registry/test_origin_lifecycle.py
+++ b/tests/registry/test_origin_lifecycle.py
@@ -11,7 +11,7 @@
 from tests.support.entries import daemon_entry, member, origin_entry
 from tests.support.operation_log import Log
 from tests.support.registry_world import World
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, Tick
 from willowpost.common.rendezvous import Rendezvous
 from willowpost.node.command_client import CommandClient
@@ -287,9 +287,9 @@
         """
         self.now += after
         if self.is_in_touch:
-            self.node_state.confirm_as_of(self.now)
+            self.node_state.confirm_fresh(self.now)
         plan = self.monitor.step(event, self.now)
-        plan.join(self.monitor.command_client.step(Tick(), self.now + 10 * MILLI))
+        plan.join(self.monitor.command_client.step(Tick(), self.now + 10 * MILLISECOND))
         operations = [
             decode_operation(stored)
             for _, message in plan.sends
@@ -303,7 +303,7 @@
             if not isinstance(message, SubmitCommand)
         ], operations
 
-    def pass_time(self, span, step=100 * MILLI):
+    def pass_time(self, span, step=100 * MILLISECOND):
         return [operation for _ in range(0, span, step) for operation in self.step(Tick(), step)[1]]
 
     def choose_origin(self, is_owned=True):
@@ -327,8 +327,8 @@
 
     def test_a_stale_heartbeat_changes_nothing_whoever_received_the_newer_one(self):
         for later in (
-            HeartbeatReceived(OriginHeartbeat("o", number=6), True),
-            Received("r1", OriginHeartbeat("o", number=6)),
+            HeartbeatReceived(OriginHeartbeat("o", heartbeat_number=6), True),
+            Received("r1", OriginHeartbeat("o", heartbeat_number=6)),
         ):
             self.setUp()
             self.step(later)
@@ -336,16 +336,19 @@
                 self.assertEqual(
                     ([], []),
                     self.step(
-                        HeartbeatReceived(OriginHeartbeat("o", 1, 1500, number=number), True),
+                        HeartbeatReceived(
+                            OriginHeartbeat("o", 1, 1500, heartbeat_number=number), True
+                        ),
                         SECOND,
                     ),
                 )
                 self.assertEqual(
-                    ([], []), self.step(Received("r1", OriginHeartbeat("o", number=number)))
+                    ([], []),
+                    self.step(Received("r1", OriginHeartbeat("o", heartbeat_number=number))),
                 )
             self.assertEqual(100 * SECOND, self.monitor.records["o"].last_seen_at)
             self.assertEqual(
-                2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", number=7)))[0])
+                2, len(self.step(HeartbeatReceived(OriginHeartbeat("o", heartbeat_number=7)))[0])
             )
 
     def test_heartbeats_without_numbers_all_count(self):
@@ -359,7 +362,9 @@
     def test_the_receiver_of_a_heartbeat_proposes_at_once_what_it_reports_of_warming_up(self):
         self.assertEqual(
             [ChangeOriginState("cold", "o", reports_warm_up=True, heartbeat_number=6)],
-            self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=6), True))[1],
+            self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, heartbeat_number=6), True))[
+                1
+            ],
         )
         self.set_origin(state=OriginState.WARMING_UP)
         self.assertEqual(
@@ -368,18 +373,29 @@
                     "warm", "o", reports_warm_up=True, heartbeat_number=7, known_slot=7
                 )
             ],
-            self.step(HeartbeatReceived(OriginHeartbeat("o", number=7), True), 10 * MILLI)[1],
+            self.step(
+                HeartbeatReceived(OriginHeartbeat("o", heartbeat_number=7), True), 10 * MILLISECOND
+            )[1],
+        )
+        self.assertEqual(
+            [],
+            self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, heartbeat_number=8), True))[
+                1
+            ],
+        )
+        self.assertEqual(
+            [], self.step(HeartbeatReceived(OriginHeartbeat("o", heartbeat_number=9)))[1]
         )
         self.assertEqual(
-            [], self.step(HeartbeatReceived(OriginHeartbeat("o", 0, 1500, number=8), True))[1]
+            [], self.step(Received("r1", OriginHeartbeat("o", heartbeat_number=10)))[1]
         )
-        self.assertEqual([], self.step(HeartbeatReceived(OriginHeartbeat("o", number=9)))[1])
-        self.assertEqual([], self.step(Received("r1", OriginHeartbeat("o", number=10)))[1])
         for state in (OriginState.WAITING, OriginState.DRAINING):
             self.set_origin(state=state)
             self.assertEqual(
                 [],
-                self.step(HeartbeatReceived(OriginHeartbeat("o", number=99 + len(state)), True))[1],
+                self.step(
+                    HeartbeatReceived(OriginHeartbeat("o", heartbeat_number=99 + len(state)), True)
+                )[1],
             )
 
     def test_the_slow_start_is_estimated_only_for_those_who_do_not_report_it(self):
--- a/tests/shell/test_settings_reload.py
+++ b/tests/shell/test_settings_reload.py
@@ -14,7 +14,7 @@
 from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import SettingsChanged
 from willowpost.node.failure_detector import watchers_of
-from willowpost.node.node_state import LEASE, DaemonDescriptor, NodeState
+from willowpost.node.node_state import LEASE_US, DaemonDescriptor, NodeState
 from willowpost.shell.reload import SettingsReload
 from willowpost.shell.settings import DaemonSettings, SettingsReader
 from willowpost.shell.structured_log import StructuredLogger
@@ -110,7 +110,7 @@
                     settings.may_bootstrap,
                     settings.regions,
                     settings.serve_on_ms,
-                    settings.pace.resend,
+                    settings.pace.resend_interval_us,
                 ),
             )
             self.assertEqual(
@@ -150,16 +150,17 @@
         )
         node_state = NodeState(descriptor, fresh_as_of=0)
         self.assertEqual(
-            (True, True), (node_state.may_serve(LEASE), node_state.holds_ownership_lease(LEASE))
+            (True, True),
+            (node_state.may_serve(LEASE_US), node_state.holds_ownership_lease(LEASE_US)),
         )
         self.assertEqual(
             (False, False),
-            (node_state.may_serve(LEASE + 1), node_state.holds_ownership_lease(LEASE + 1)),
+            (node_state.may_serve(LEASE_US + 1), node_state.holds_ownership_lease(LEASE_US + 1)),
         )
         node_state.max_stale_serving = 60 * SECOND
         self.assertEqual(
             (True, False),
-            (node_state.may_serve(60 * SECOND), node_state.holds_ownership_lease(LEASE + 1)),
+            (node_state.may_serve(60 * SECOND), node_state.holds_ownership_lease(LEASE_US + 1)),
         )
         self.assertFalse(node_state.may_serve(60 * SECOND + 1))
         self.assertFalse(
--- a/tests/support/draining_origins.py
+++ b/tests/support/draining_origins.py
@@ -2,7 +2,8 @@
 
 from dataclasses import replace
 
-from willowpost.proxy.routing.snapshot import RoutingSnapshot, SnapshotMaker
+from willowpost.proxy.routing.snapshot import RoutingSnapshot
+from willowpost.proxy.routing.snapshot_maker import SnapshotMaker
 from willowpost.state.lifecycle import OriginState
 from willowpost.state.tables import Tables
 
--- a/tests/support/outside_views.py
+++ b/tests/support/outside_views.py
@@ -25,7 +25,7 @@
 from willowpost.drill.deployment import Deployment
 from willowpost.history.codec import read_history, write_history
 from willowpost.node.node_state import DaemonDescriptor, NodeState
-from willowpost.proxy.figures import ProxyFigures
+from willowpost.proxy.metrics import ProxyMetrics
 from willowpost.registry.status import StatusPage
 from willowpost.shell.metrics import MetricsPage
 from willowpost.shell.settings import SettingsReader
@@ -59,7 +59,7 @@
     if found.is_err():
         return {"findings": found.unwrap_err()}
     held = found.unwrap()
-    return {"values": held.model_dump(by_alias=True), "place": content(held.place())}
+    return {"values": held.model_dump(by_alias=True), "place": content(held.to_process_settings())}
 
 
 def platform_settings(kind: str, text: str) -> dict:
@@ -135,8 +135,8 @@
     proxy = ServedProxy(ScriptedOrigin(answer(b"ok", cache_control="no-store")))
     try:
         proxy.ask("GET", "/a")
-        outgoing = proxy.front.carrier.tries.outgoing
-        page = MetricsPage(ProxyFigures(proxy.front, proxy.node_state, outgoing))
+        outgoing = proxy.front.executor.attempts.resources.outgoing
+        page = MetricsPage(ProxyMetrics(proxy.front, proxy.node_state, outgoing))
         lines = page.text().decode().splitlines()
     finally:
         proxy.stop()
--- a/tests/support/registry_world.py
+++ b/tests/support/registry_world.py
@@ -5,8 +5,8 @@
 from unittest.mock import patch
 
 from willowpost.common.events import WithdrawSubmission
-from willowpost.registry.front import Front
-from willowpost.shell.web import Call
+from willowpost.registry.api.routes import ControlApiRoutes
+from willowpost.shell.web import Request
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
 
@@ -29,7 +29,7 @@
     def put(self, event):
         self.world.give(self.address, event)
 
-    def ask(self, *ops, timeout):
+    def submit(self, *ops, timeout):
         token = self.world.ask(self.address, *ops)
         if not self.world.until(lambda: token in self.world.replies, seconds(timeout)):
             self.put(WithdrawSubmission(token))
@@ -46,7 +46,7 @@
         self.world = FleetWorld(self.seed)
         self.world.until(self.world.bootstrapped, seconds(10))
         self.world.run(seconds(3))
-        self.fronts = [Front(SimRunner(self.world, f"r{number}"), None) for number in range(2)]
+        self.fronts = [ControlApiRoutes(SimRunner(self.world, f"r{number}")) for number in range(2)]
         sleep = patch("gevent.sleep", lambda span: self.world.run(seconds(span)))
         sleep.start()
         self.addCleanup(sleep.stop)
@@ -72,7 +72,7 @@
             )
         )
         return handler(
-            Call(
+            Request(
                 method,
                 path,
                 "",
--- a/tests/support/scripted_proxy.py
+++ b/tests/support/scripted_proxy.py
@@ -38,11 +38,13 @@
 
 
 class Scripted(unittest.TestCase):
-    def served(self, *scripts, **said):
+    def served(self, *scripts, **settings):
         self.origins = [ScriptedOrigin(*script) for script in scripts]
         self.proxy = ServedProxy(*self.origins, configuration=CONFIGURATION)
         self.addCleanup(self.proxy.stop)
-        self.proxy.set_origins(self.origins, **{"named": True, "sealed": True, **said})
+        self.proxy.set_origins(
+            self.origins, **{"checks_incarnation": True, "requires_seal": True, **settings}
+        )
         return self.proxy
 
     def asked(self):
--- a/tests/support/served.py
+++ b/tests/support/served.py
@@ -13,20 +13,23 @@
 from willowpost.configuration.checker import ConfigurationChecker
 from willowpost.configuration.routes import RouteTable, routes_of
 from willowpost.node.node_state import DaemonDescriptor
-from willowpost.proxy.admission.buckets import Allowance, Ramp
-from willowpost.proxy.admission.budget import RetryBudget
+from willowpost.proxy.admission.quota_admission import QuotaAdmission
+from willowpost.proxy.admission.retry_budget import RetryBudget
+from willowpost.proxy.admission.slow_start import SlowStartAdmission
 from willowpost.proxy.cache.store import CacheStore
-from willowpost.proxy.front import Front
+from willowpost.proxy.frontend import Frontend
 from willowpost.proxy.handler import ProxyHandler
-from willowpost.proxy.origin.io import SocketIo
-from willowpost.proxy.origin.pick import OriginPicker
-from willowpost.proxy.origin.pool import ConnectionPool
+from willowpost.proxy.origin.connection_pool import ConnectionPool
+from willowpost.proxy.origin.connections import OriginConnections
+from willowpost.proxy.origin.selection import OriginSelector
+from willowpost.proxy.outgoing import OutgoingRequests
 from willowpost.proxy.proxy_state import Grant, ProxyState
-from willowpost.proxy.routing.carrier import Carrier
+from willowpost.proxy.routing.attempt_resources import AttemptResources
+from willowpost.proxy.routing.attempts import Attempts
+from willowpost.proxy.routing.plan_executor import PlanExecutor
 from willowpost.proxy.routing.planner import RequestPlanner
-from willowpost.proxy.routing.snapshot import OriginCard, RoutingSnapshot, ServiceCard
-from willowpost.proxy.routing.tries import Tries
-from willowpost.shell.web import WebServer
+from willowpost.proxy.routing.snapshot import RoutableOrigin, RoutableService, RoutingSnapshot
+from willowpost.shell.web_server import WebServer
 from willowpost.state.entries import Ownership
 from willowpost.state.tables import Tables
 
@@ -134,43 +137,46 @@
             slot=5, epoch=1, ownerships={"quota_share/g": Ownership("p", 1)}
         )
         self.node_state.grants = {"g": Grant(1000.0, self.clock.now() + 10**12, 1)}
-        self.allowance = Allowance(self.node_state)
-        tries = Tries(
-            self.node_state,
-            self.clock,
-            self.allowance,
-            Ramp(self.node_state),
-            RetryBudget(lambda: 1, 0),
-            OriginPicker("a"),
-            SocketIo(self.pool),
-            self.stats,
+        self.quota_admission = QuotaAdmission(self.node_state)
+        attempts = Attempts(
+            AttemptResources(
+                node_state=self.node_state,
+                clock=self.clock,
+                quota_admission=self.quota_admission,
+                slow_start=SlowStartAdmission(self.node_state),
+                retry_budget=RetryBudget(lambda: 1, 0),
+                origin_selector=OriginSelector("a"),
+                io=OriginConnections(self.pool),
+                stats=self.stats,
+                outgoing=OutgoingRequests(self.node_state, self.clock.now),
+            )
         )
-        carrier = Carrier(self.node_state, self.cache, self.clock, tries, self.stats)
+        executor = PlanExecutor(self.node_state, self.cache, self.clock, attempts, self.stats)
         logger = type(
             "Quiet", (), {"log": lambda self, *a, **k: self.held.append((a, k)), "held": []}
         )()
         self.logger = logger
-        self.front = Front(
+        self.front = Frontend(
             self.node_state,
             self.clock,
             RequestPlanner(self.node_state, self.cache, self.clock),
-            carrier,
+            executor,
             self.stats,
             logger,
         )
         self.web = WebServer("127.0.0.1:0", self.front, ProxyHandler)
         self.web.start()
-        self.allowance.let_in("g", self.clock.now())
+        self.quota_admission.admit("g", self.clock.now())
         self.clock.time += 1_000_000
         self.node_state.fresh_as_of = self.clock.now()
 
-    def set_origins(self, origins, instance_check=None, zones=(), cold=False, **said):
-        """`said`: what the service's card says besides; with `named`.
+    def set_origins(self, origins, instance_check=None, zones=(), cold=False, **settings):
+        """`settings`: further attributes of the service.
 
-        The life of the first origin is "life-0", and so on.
+        The incarnation of the first origin is "incarnation-0", and so on.
         """
-        cards = tuple(
-            OriginCard(
+        routable_origins = tuple(
+            RoutableOrigin(
                 origin.address + "@1",
                 origin.address,
                 zones[number] if zones else "a",
@@ -187,9 +193,13 @@
             1,
             RouteTable(routes_of(self.configuration)),
             MappingProxyType(
-                {"g": ServiceCard(1000, 10, ("p",), MappingProxyType({"p": 1.0}), cards, **said)}
+                {
+                    "g": RoutableService(
+                        1000, 10, ("p",), MappingProxyType({"p": 1.0}), routable_origins, **settings
+                    )
+                }
             ),
-            frozenset(card.name for card in cards),
+            frozenset(card.name for card in routable_origins),
         )
 
     @property
--- a/tests/system/test_bounded_faults.py
+++ b/tests/system/test_bounded_faults.py
@@ -40,7 +40,7 @@
 
     def test_without_a_base_share_an_owners_death_is_refused_in_numbers(self):
         with (
-            patch("willowpost.proxy.admission.quota_shares.BASE_QUOTA_PART", 0.0),
+            patch("willowpost.proxy.admission.quota.BASE_QUOTA_FRACTION", 0.0),
             self.assertRaisesRegex(Broken, "owner_dies: [0-9]+ refused"),
         ):
             bounded("screening", "owner_dies")
--- a/tests/system/test_configuration_read_back.py
+++ b/tests/system/test_configuration_read_back.py
@@ -8,13 +8,13 @@
 from unittest.mock import patch
 
 from tests.registry import test_registry
-from willowpost.configuration.checker import BYTES_MOST, ConfigurationChecker
+from willowpost.configuration.checker import MAX_CONFIGURATION_BYTES, ConfigurationChecker
 from willowpost.consensus.replica.catchup import Catchup
-from willowpost.consensus.replica.quorum_reads import Reads
+from willowpost.consensus.replica.quorum_reads import QuorumReads
 from willowpost.node.follower import Follower
-from willowpost.registry.calls.configurations import ConfigurationCalls
-from willowpost.registry.calls.control_api import ControlApi
-from willowpost.shell.web import Router
+from willowpost.registry.api.configurations import ConfigurationRoutes
+from willowpost.registry.api.log_client import LogClient
+from willowpost.shell.router import Router
 from willowpost.sim.fleet.fault_schedule import FleetFaultSchedule
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
@@ -73,7 +73,7 @@
         for place, who in ((Follower, "e0|r3|e|r|h"), (Catchup, "s")):
             with (
                 self.subTest(place=place.__name__),
-                patch.object(place, "_newer", ALWAYS),
+                patch.object(place, "_is_newer", ALWAYS),
                 self.assertRaisesRegex(Broken, f"({who})[0-9]*:? (went back|unsaid|calls itself)"),
             ):
                 for seed in range(12):
@@ -110,11 +110,11 @@
         self.assertEqual(2, alone_with_a_minority(3).version)
 
         def settle(self):
-            for read in self.reads.open.values():
-                self.node_state.fresh_as_of = read.asked_at
+            for read in self.reads.by_nonce.values():
+                self.node_state.fresh_as_of = read.started_at
 
         with (
-            patch.object(Reads, "_settle", settle),
+            patch.object(QuorumReads, "_advance_freshness", settle),
             self.assertRaisesRegex(Broken, "calls itself whole"),
         ):
             alone_with_a_minority(3)
@@ -133,7 +133,7 @@
             return calls.call("GET", "/v1/configuration")
 
         self.assertEqual(503, read_alone().code)
-        with patch.object(ControlApi, "read", ALWAYS):
+        with patch.object(LogClient, "quorum_read", ALWAYS):
             self.assertEqual((200, 1), ((held := read_alone()).code, held.value["version"]))
 
 
@@ -157,7 +157,7 @@
         self.assertGreater(self.fade(5), 100)
 
     def test_without_the_replace_voter_the_next_loss_stops_the_fleet(self):
-        with patch.object(VoterRepair, "_lost", lambda self: None):
+        with patch.object(VoterRepair, "_replaceable_voter", lambda self: None):
             self.assertEqual(0, self.fade(5))
 
 
@@ -212,10 +212,10 @@
 
     def test_a_patch_that_only_an_older_configuration_bears_is_refused(self):
         """Worked out from one version while another came: the patched tree would undo it."""
-        propose = ConfigurationCalls._propose
+        propose = ConfigurationRoutes._propose
 
         def raced(front, proposal, deadline):
-            with patch.object(ConfigurationCalls, "_propose", propose):
+            with patch.object(ConfigurationRoutes, "_propose", propose):
                 other = json.loads(json.dumps(self.tree))
                 other["services"]["late"] = {"rate": 5.0}
                 self.assertEqual(
@@ -224,7 +224,7 @@
                 return propose(front, proposal, deadline)
 
         change = [{"op": "replace", "path": "/settings/tries", "value": 2}]
-        with patch.object(ConfigurationCalls, "_propose", raced):
+        with patch.object(ConfigurationRoutes, "_propose", raced):
             self.assertEqual(412, self.calls.call("PATCH", "/v1/configuration", change).code)
         self.assertIn(
             "late", self.calls.call("GET", "/v1/configuration").value["configuration"]["services"]
@@ -250,7 +250,7 @@
         environ = {
             "REQUEST_METHOD": "PUT",
             "PATH_INFO": "/v1/configuration",
-            "CONTENT_LENGTH": str(BYTES_MOST + 1),
+            "CONTENT_LENGTH": str(MAX_CONFIGURATION_BYTES + 1),
             "wsgi.input": type("Body", (), {"read": lambda self, size: read.append(size)})(),
         }
         codes = []
--- a/tests/system/test_exhaustive_faults.py
+++ b/tests/system/test_exhaustive_faults.py
@@ -6,7 +6,8 @@
 
 from tests.support.entries import daemon_entry, member
 from willowpost.common.events import Received, Tick
-from willowpost.consensus.replica.replica_state import ReplicaState, ReplicaTuning
+from willowpost.consensus.replica.replica_state import ReplicaState
+from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.consensus.replica.voting import Voting
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.fault_schedules import CoreFaultSchedule
@@ -202,11 +203,15 @@
         snapshots = 0
         for seed in range(12):
             with self.subTest(seed=seed):
-                fault_schedule = CoreFaultSchedule(seed, pace=ReplicaTuning(keep=4, rotate=8)).run()
+                fault_schedule = CoreFaultSchedule(
+                    seed, pace=ReplicaTuning(max_retained_decisions=4, max_segment_decisions=8)
+                ).run()
                 self.assertEqual(
                     ([], 1), (fault_schedule.unanswered(), len(fault_schedule.digests()))
                 )
-                snapshots += sum(note[3] == "snapshot taken" for note in fault_schedule.world.notes)
+                snapshots += sum(
+                    note[3] == "snapshot installed" for note in fault_schedule.world.notes
+                )
         self.assertGreater(snapshots, 10)
 
     def test_two_regions_and_wide_fault_schedules(self):
--- a/tests/system/test_fleet_guarantees.py
+++ b/tests/system/test_fleet_guarantees.py
@@ -9,10 +9,10 @@
 
 from tests.support.draining_origins import make_with_draining
 from willowpost.common.clock import SECOND
-from willowpost.proxy.admission.verdict import Let
-from willowpost.proxy.cache.storing import Storing
-from willowpost.proxy.origin.failure import Why
-from willowpost.proxy.routing.headers import toward
+from willowpost.proxy.admission.admission_decision import AdmissionDecision
+from willowpost.proxy.cache.storage_policy import StorageDecision
+from willowpost.proxy.origin.errors import FailureReason
+from willowpost.proxy.routing.headers import ShieldHop
 from willowpost.sim.fleet.fault_schedule import FleetFaultSchedule
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
@@ -231,72 +231,110 @@
     return lambda *args, **more: value
 
 
-def never_sent(failure, what, sent, died=False, ran=None, silent=False, why=Why.BROKE):
-    failure.what, failure.sent, failure.died, failure.ran, failure.silent, failure.why = (
-        what,
+def never_sent(
+    failure,
+    description,
+    was_sent,
+    is_process_gone=False,
+    may_have_executed=None,
+    timed_out=False,
+    reason=FailureReason.CONNECTION_FAILED,
+):
+    (
+        failure.description,
+        failure.was_sent,
+        failure.is_process_gone,
+        failure.may_have_executed,
+        failure.timed_out,
+        failure.reason,
+    ) = (
+        description,
         False,
-        died,
+        is_process_gone,
         False,
-        silent,
-        why,
+        timed_out,
+        reason,
     )
 
 
+def first_attempt_hop(edge_id, slot, *_):
+    """A hop that tells the shield of no earlier attempt, whatever there was."""
+    return ShieldHop(edge_id, slot)
+
+
 OFF = (
     # scenario, what is switched off, the words the check must use
     (
         lost_answers,
-        {"willowpost.proxy.origin.failure.ExchangeFailure.__init__": never_sent},
+        {"willowpost.proxy.origin.errors.ExchangeError.__init__": never_sent},
         "ran twice|called not-run",
     ),
     (
         short_answers,
-        {"willowpost.proxy.admission.budget.RetryBudget.left": always(True)},
+        {"willowpost.proxy.admission.retry_budget.RetryBudget.has_retry_left": always(True)},
         "extra tries",
     ),
     (
         failing_behind_shields,
-        {"willowpost.proxy.routing.tries.toward": lambda *args: toward(*args[:5])},
+        {"willowpost.proxy.routing.shield_attempts.ShieldHop": first_attempt_hop},
         "extra tries",
     ),
     (
         configuration_behind_a_cut,
-        {"willowpost.node.node_state.LEASE": 60 * SECOND},
+        {"willowpost.node.node_state.LEASE_US": 60 * SECOND},
         "may deliver with configuration",
     ),
     (purges, {"willowpost.proxy.cache.store.CacheStore.purge": always(None)}, "purged"),
     (
         purge_races_fetch,
-        {"willowpost.proxy.cache.store.CacheStore.purged_since": always(False)},
+        {"willowpost.proxy.cache.store.CacheStore.is_purged_since": always(False)},
         "purged",
     ),
-    (content_replaced, {"willowpost.proxy.cache.store.Entry.fresh": always(True)}, "keep time"),
+    (
+        content_replaced,
+        {"willowpost.proxy.cache.store.CacheEntry.is_fresh": always(True)},
+        "keep time",
+    ),
     (
         origin_leaves,
-        {"willowpost.proxy.routing.snapshot.SnapshotMaker.make": make_with_draining},
+        {"willowpost.proxy.routing.snapshot_maker.SnapshotMaker.make": make_with_draining},
         "after it left",
     ),
     (
         pressed_hard,
-        {"willowpost.proxy.admission.buckets.Window.take": always(True)},
+        {"willowpost.proxy.admission.sliding_window.SlidingWindow.take": always(True)},
         "in 5 s at rate",
     ),
-    (cold_rush, {"willowpost.proxy.admission.buckets.Ramp.let_in": always(Let.IN)}, "in a second"),
+    (
+        cold_rush,
+        {
+            "willowpost.proxy.admission.slow_start.SlowStartAdmission.admit": always(
+                AdmissionDecision.ADMITTED
+            )
+        },
+        "in a second",
+    ),
     (
         personal,
-        {"willowpost.proxy.cache.storing.StoringRules.judge": always(Storing(3_000_000, (), True))},
+        {
+            "willowpost.proxy.cache.storage_policy.StoragePolicy.decide": always(
+                StorageDecision(3_000_000, (), True)
+            )
+        },
         "wrong answer",
     ),
     (
         rude_newcomer,
-        {"willowpost.proxy.origin.instance_check.InstanceCheck.judge": always(None)},
+        {"willowpost.proxy.origin.instance_check.InstanceCheck.verify": always(None)},
         "reached",
     ),
     (
         silent_restart,
         {
-            "willowpost.proxy.origin.instance_check.InstanceCheck.judge": always(None),
-            "willowpost.proxy.admission.buckets.Ramp.suspect": always(None),
+            "willowpost.proxy.origin.instance_check.InstanceCheck.verify": always(None),
+            "willowpost.proxy.admission.slow_start.SlowStartAdmission.suspect_restart": always(
+                None
+            ),
         },
         "in a second",
     ),
@@ -340,7 +378,7 @@
                         each.stop()
 
     def test_an_emptied_zone_that_stays_in_the_snapshot_is_caught(self):
-        from willowpost.proxy.routing.snapshot import SnapshotMaker
+        from willowpost.proxy.routing.snapshot_maker import SnapshotMaker
 
         make = SnapshotMaker.make
         world = opened()
--- a/tests/system/test_large_configurations.py
+++ b/tests/system/test_large_configurations.py
@@ -7,7 +7,7 @@
 import time
 import unittest
 
-from willowpost.configuration.checker import BYTES_MOST, ConfigurationChecker
+from willowpost.configuration.checker import MAX_CONFIGURATION_BYTES, ConfigurationChecker
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
 from willowpost.state.operations import PurgeCache
@@ -56,8 +56,8 @@
 
         world.give = timed
         size = self.accept(world, 600, 7)
-        self.assertGreater(size, BYTES_MOST // 2)
-        self.assertLess(size, BYTES_MOST)
+        self.assertGreater(size, MAX_CONFIGURATION_BYTES // 2)
+        self.assertLess(size, MAX_CONFIGURATION_BYTES)
         world.run(seconds(3))
         self.assertEqual(
             {world.version},
--- a/tests/system/test_partitioned_control_machine.py
+++ b/tests/system/test_partitioned_control_machine.py
@@ -7,10 +7,15 @@
 
 from tests.support.entries import daemon_entry, origin_entry
 from tests.support.registry_world import World
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick, WithdrawSubmission
 from willowpost.common.rendezvous import Rendezvous
-from willowpost.node.command_client import AVOID_FOR, RETRY_AFTER, CommandClient, SubmissionOutcome
+from willowpost.node.command_client import (
+    RETRY_INTERVAL_US,
+    UNRESPONSIVE_STORE_PENALTY_US,
+    CommandClient,
+    SubmissionOutcome,
+)
 from willowpost.registry.origin_health import OriginHealthMonitor
 from willowpost.shell.runner import Runner
 from willowpost.sim.fleet.world import FleetWorld
@@ -45,7 +50,7 @@
 )
 
 CALLERS_SECOND = SECOND
-AT_ONCE = 100 * MILLI
+AT_ONCE = 100 * MILLISECOND
 CUT_SPAN = 20 * SECOND
 CUT_MACHINE = ["r0", "s0"]
 ORIGIN = {"service": "art", "address": "127.0.0.1:99", "zone": "a", "token": "life-1"}
@@ -138,7 +143,7 @@
         self.open()
         for method, path, value in self.orders():
             self.told("POST", "/v1/origins/beat", ORIGIN, first=1)
-            self.world.run(300 * MILLI)
+            self.world.run(300 * MILLISECOND)
             self.cut_off()
             told = self.told(method, path, value)
             with self.subTest(method=method, path=path, value=value, told=told):
@@ -160,7 +165,7 @@
         for name in CUT_MACHINE:
             self.world.crash(name)
             self.world.start(name)
-        self.world.run(50 * MILLI)
+        self.world.run(50 * MILLISECOND)
         self.refused_at_once()
         self.world.run(5 * SECOND)
         self.refused_at_once()
@@ -206,7 +211,7 @@
         self.world.run(2 * SECOND)
         self.assertEqual(200, self.told("POST", "/v1/zones/b/empty").code)
         told = self.told("POST", "/v1/zones/b/restore")
-        self.assertEqual((200, True), (told.code, told.waited < 400 * MILLI))
+        self.assertEqual((200, True), (told.code, told.waited < 400 * MILLISECOND))
 
 
 class LateOrders(CutOff):
@@ -322,7 +327,7 @@
                 self.world.heal()
             for first in (0, 1):
                 accepted = self.judge(first, accepted)
-            self.world.run(300 * MILLI)
+            self.world.run(300 * MILLISECOND)
         for first in (0, 1):
             told = self.told("GET", "/v1/configuration", first=first)
             self.assertEqual((200, accepted), (told.code, told.value["version"]))
@@ -365,13 +370,13 @@
         until = self.world.time + span
         while self.world.time < until:
             self.told("POST", "/v1/origins/beat", self.origin, first=1)
-            self.world.run(500 * MILLI)
+            self.world.run(500 * MILLISECOND)
 
     def proposed_gone(self):
         return [
             (moment, name)
             for moment, name, part, sentence, more in self.world.notes
-            if sentence == "proposes a turn"
+            if sentence == "origin state change proposed"
             and more["state"] == "gone"
             and more["origin"].startswith(self.origin["address"])
         ]
@@ -411,7 +416,7 @@
         self.stays("is heard")
 
     def test_judging_while_out_of_touch_is_caught(self):
-        with patch.object(OriginHealthMonitor, "_informed", lambda self, live, now: True):
+        with patch.object(OriginHealthMonitor, "_is_informed", lambda self, live, now: True):
             self.assertTrue(self.back_from_the_cut("silent")[1])
 
     def test_a_fleet_back_from_having_no_majority_throws_out_nobody_who_beats(self):
@@ -456,7 +461,7 @@
         world.heal()
         lost = set()
         for _ in range(60):
-            world.run(50 * MILLI)
+            world.run(50 * MILLISECOND)
             daemons = world.seats["r0"].node.registry.tables.daemons
             lost |= {
                 name
@@ -519,8 +524,8 @@
 
     def ticks(self, span):
         sent = []
-        for _ in range(0, span, 20 * MILLI):
-            self.now += 20 * MILLI
+        for _ in range(0, span, 20 * MILLISECOND):
+            self.now += 20 * MILLISECOND
             sent += self.sends(Tick())
         return sent
 
@@ -532,7 +537,7 @@
 
     def test_the_shell_withdraws_what_was_not_answered_in_time(self):
         runner = Runner("127.0.0.1:1", None)
-        self.assertIsNone(runner.ask(EndOrigin("x"), timeout=0.01))
+        self.assertIsNone(runner.submit(EndOrigin("x"), timeout=0.01))
         waiting = [runner.inbox.get_nowait() for _ in range(runner.inbox.qsize())]
         self.assertEqual([SubmitOperations(1, (EndOrigin("x"),)), WithdrawSubmission(1)], waiting)
 
@@ -544,9 +549,9 @@
     def test_one_that_gives_up_takes_nothing_from_another(self):
         for token in (1, 2):
             self.step(SubmitOperations(token, (EndOrigin(str(token)),)))
-        ((_, submitted),) = self.ticks(40 * MILLI)
+        ((_, submitted),) = self.ticks(40 * MILLISECOND)
         self.step(WithdrawSubmission(1))
-        self.assertTrue(self.ticks(RETRY_AFTER + 20 * MILLI))
+        self.assertTrue(self.ticks(RETRY_INTERVAL_US + 20 * MILLISECOND))
         answers = json.dumps(encode_results((PurgeAccepted(1), PurgeAccepted(2))))
         plan = self.client.step(
             Received("a:1", CommandAccepted(submitted.command.key, 7, answers)), 0
@@ -557,7 +562,7 @@
         self.step(SubmitOperations(None, (RemoveDaemon("p", 1),)))
         self.step(SubmitOperations(None, (ChangeOriginState("warm", "o"),), SECOND))
         self.step(SubmitOperations(1, (EvacuateZone("b", is_evacuated=True),)))
-        self.ticks(500 * MILLI)
+        self.ticks(500 * MILLISECOND)
         self.step(WithdrawSubmission(1))
         self.ticks(2 * SECOND)
         bodies = [entry.command.body for entry in self.client.pending.values()]
@@ -567,12 +572,12 @@
         self.step(SubmitOperations(1, (EndOrigin("x"),)))
         self.assertEqual(
             ["a:1", "b:1", "c:1"],
-            [address for address, _ in self.ticks(2 * RETRY_AFTER + SECOND)][:3],
+            [address for address, _ in self.ticks(2 * RETRY_INTERVAL_US + SECOND)][:3],
         )
         self.step(WithdrawSubmission(1))
-        self.ticks(AVOID_FOR + SECOND)
+        self.ticks(UNRESPONSIVE_STORE_PENALTY_US + SECOND)
         self.step(SubmitOperations(2, (EndOrigin("x"),)))
-        self.assertEqual(["a:1"], [address for address, _ in self.ticks(40 * MILLI)])
+        self.assertEqual(["a:1"], [address for address, _ in self.ticks(40 * MILLISECOND)])
 
 
 class Fences(unittest.TestCase):
--- a/tests/system/test_planned_restarts.py
+++ b/tests/system/test_planned_restarts.py
@@ -7,7 +7,7 @@
 from unittest.mock import patch
 
 from tests.support.draining_origins import make_with_draining
-from willowpost.proxy.routing.snapshot import SnapshotMaker
+from willowpost.proxy.routing.snapshot_maker import SnapshotMaker
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.world import seconds
 
@@ -55,9 +55,9 @@
 
     def test_without_the_drain_requests_in_flight_are_dropped(self):
         with (
-            patch("willowpost.node.graceful_shutdown.DRAIN_SPAN", 0),
-            patch("willowpost.node.graceful_shutdown.FINISH_SPAN", 0),
-            patch("willowpost.node.graceful_shutdown.LEAVE_SPAN", 0),
+            patch("willowpost.node.graceful_shutdown.DRAIN_TIMEOUT_US", 0),
+            patch("willowpost.node.graceful_shutdown.FINISH_TIMEOUT_US", 0),
+            patch("willowpost.node.graceful_shutdown.LEAVE_TIMEOUT_US", 0),
         ):
             world = rush()
             self.restart_all(world, ["e0", "e1", "e2"])
--- a/tests/system/test_quota_share_shifts.py
+++ b/tests/system/test_quota_share_shifts.py
@@ -7,7 +7,7 @@
 from unittest.mock import patch
 
 from willowpost.common.clock import SECOND
-from willowpost.proxy.admission.quota_shares import QuotaShareTaker
+from willowpost.proxy.admission.quota_share_client import QuotaShareClient
 from willowpost.sim.fleet.day import DayWorld
 
 
@@ -34,14 +34,14 @@
         self.assertLessEqual(world.day().refused, 12)
 
     def test_even_shares_would_not_do(self):
-        ask = QuotaShareTaker._ask
+        request_grants = QuotaShareClient._request_grants
 
-        def unasked(self, now, plan):
+        def without_demand(self, now, plan):
             self.node_state.demand = {}
-            self.smooth = {}
-            ask(self, now, plan)
+            self.smoothed_demand = {}
+            request_grants(self, now, plan)
 
-        with patch.object(QuotaShareTaker, "_ask", unasked):
+        with patch.object(QuotaShareClient, "_request_grants", without_demand):
             self.assertGreater(DayWorld(1, 30, 240).day().refused, 100)
 
 
--- a/tests/system/test_small_allowances.py
+++ b/tests/system/test_small_allowances.py
@@ -42,16 +42,18 @@
 
     def test_shared_out_it_would_get_a_fraction_and_below_that_nothing_at_all(self):
         with (
-            patch(f"{TOKENS}.in_whole_tokens", SHARED),
-            patch("willowpost.proxy.admission.buckets.in_whole_tokens", SHARED),
-            patch("willowpost.proxy.admission.quota_shares.in_whole_tokens", SHARED),
+            patch(f"{TOKENS}.is_admitted_by_tokens", SHARED),
+            patch("willowpost.proxy.admission.quota_admission.is_admitted_by_tokens", SHARED),
+            patch("willowpost.proxy.admission.quota.is_admitted_by_tokens", SHARED),
+            patch("willowpost.proxy.admission.quota_share_client.is_admitted_by_tokens", SHARED),
+            patch("willowpost.proxy.admission.quota_share_owner.is_admitted_by_tokens", SHARED),
         ):
             self.assertEqual(0, arrived(small(0.5), 20))
             self.assertLess(arrived(small(0.8), 20), 0.4 * 0.8 * 20)
 
     def test_an_owner_that_gives_without_count_is_caught(self):
         with (
-            patch(f"{TOKENS}.Bucket.take", lambda *args: True),
+            patch(f"{TOKENS}.TokenBucket.take", lambda *args: True),
             self.assertRaisesRegex(Broken, "at rate 1.0"),
         ):
             arrived(small(1.0), 20)
--- a/tests/system/test_split_core.py
+++ b/tests/system/test_split_core.py
@@ -69,7 +69,7 @@
                 world.settle()
 
     def test_without_the_quorum_read_a_shattered_core_serves_nobody(self):
-        with patch.object(QuorumRead, "_stale", lambda self, now: False):
+        with patch.object(QuorumRead, "_is_stale", lambda self, now: False):
             self.assertEqual((False, False), self.run_shape(SHAPES["2-2-1"][0])[1:])
 
     def test_cut_off_from_all_but_two_voters_nobody_serves(self):
@@ -135,7 +135,7 @@
 
     def test_without_the_barrier_a_reader_misses_what_was_accepted(self):
         with (
-            patch.object(Voting, "_opened", lambda self, plan: True),
+            patch.object(Voting, "_open_slot", lambda self, plan: True),
             self.assertRaisesRegex(Broken, "calls itself whole"),
         ):
             for seed in range(6):
--- a/tests/system/test_stale_tables.py
+++ b/tests/system/test_stale_tables.py
@@ -10,12 +10,13 @@
 from greenlet import getcurrent, greenlet
 
 from tests.support.entries import member
-from willowpost.common.clock import MILLI, SECOND
+from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, Tick
-from willowpost.node.follower import TOO_OLD, Follower
+from willowpost.node.follower import Follower
 from willowpost.node.node_state import DaemonDescriptor, NodeState
 from willowpost.node.quorum_read import QuorumRead
-from willowpost.proxy.caller.pacing import LinkPacer
+from willowpost.node.source_selection import MAX_TABLE_AGE_US
+from willowpost.proxy.client.pacing import LinkPacer
 from willowpost.sim.fleet.world import FleetWorld
 from willowpost.sim.rules import Broken
 from willowpost.sim.world import seconds
@@ -66,7 +67,11 @@
 
 class FullLinks(unittest.TestCase):
     def test_a_proxy_whose_updates_come_late_sends_nothing_to_origins_that_left(self):
-        for seed, delay in ((1, 700 * MILLI), (2, 1200 * MILLI), (3, 2500 * MILLI)):
+        for seed, delay in (
+            (1, 700 * MILLISECOND),
+            (2, 1200 * MILLISECOND),
+            (3, 2500 * MILLISECOND),
+        ):
             with self.subTest(seed=seed, delay=delay):
                 world = opened(seed, delay)
                 world.full_at = world.time
@@ -101,14 +106,16 @@
     def test_late_answers_complete_the_read_that_they_belong_to(self):
         for delay in (50, 200, 400, 900):
             with self.subTest(delay=delay):
-                # a read begins when the tables are TOO_OLD, and is asked anew each 150 ms
-                self.assertLessEqual(self._age(delay * MILLI), TOO_OLD + (delay + 170) * MILLI)
+                # a read begins when the tables are MAX_TABLE_AGE_US, and is asked anew each 150 ms
+                self.assertLessEqual(
+                    self._age(delay * MILLISECOND), MAX_TABLE_AGE_US + (delay + 170) * MILLISECOND
+                )
 
     def test_answers_to_different_reads_make_no_quorum(self):
         """Each read was heard by one voter, none by a quorum."""
         state, read = self._follower()
         for number in range(3):
-            now = (number + 1) * 200 * MILLI + SECOND
+            now = (number + 1) * 200 * MILLISECOND + SECOND
             asks = [
                 sent
                 for _, sent in read.step(Tick(), now).sends
@@ -123,20 +130,20 @@
         state = NodeState(DaemonDescriptor("p", "proxy", "edge", "p", "a", "p:1", "p:2", 1))
         voters = tuple(member(f"v{number}", address=f"v{number}:1") for number in range(3))
         state.tables = Tables(slot=5, epoch=1, voters=voters)
-        return state, QuorumRead(state, Follower(state, ["s:1"], tree=False))
+        return state, QuorumRead(state, Follower(state, ["s:1"], may_poll_proxies=False))
 
     def _age(self, delay):
         """The age of the tables after three seconds in which each answer takes `delay` µs."""
         state, read = self._follower()
         arrivals = []
-        for now in range(SECOND, 4 * SECOND, 10 * MILLI):
+        for now in range(SECOND, 4 * SECOND, 10 * MILLISECOND):
             while arrivals and arrivals[0][0] <= now:
                 _, address, nonce = heapq.heappop(arrivals)
                 read.step(Received(address, QuorumReadResponse(nonce, address[:2], 5)), now)
             for address, sent in read.step(Tick(), now).sends:
                 if isinstance(sent, QuorumReadRequest):
                     heapq.heappush(arrivals, (now + delay, address, sent.nonce))
-        age = state.age(4 * SECOND)
+        age = state.tables_age(4 * SECOND)
         return 10 * SECOND if age is None else age
 
 
@@ -166,7 +173,7 @@
         )
 
         def write():
-            piece = pacer.piece or size
+            piece = pacer.chunk_bytes or size
             for start in range(0, size, piece):
                 pacer.wait(min(piece, size - start))
                 link.hand_over(min(piece, size - start))
--- a/tests/toolbox/test_folder_checker.py
+++ b/tests/toolbox/test_folder_checker.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from willowpost.shell.segment_format import segment_of
+from willowpost.shell.segment_format import encode_segment
 from willowpost.sim.core import CoreWorld
 from willowpost.sim.world import seconds
 from willowpost.state.operations import EvacuateZone
@@ -31,7 +31,7 @@
         return held.name
 
     def whole(self, records=None):
-        return segment_of(records or self.records)
+        return encode_segment(records or self.records)
 
     def test_a_sound_folder_has_no_finding_and_replays_to_the_running_tables(self):
         folder = self.folder(self.whole())
@@ -69,7 +69,7 @@
             (bytes(data), "bad record"),
             (self.whole()[:-5], "torn tail"),
             (b"", "no sound header"),
-            (segment_of([]), "not an identity"),
+            (encode_segment([]), "not an identity"),
         ):
             findings, _ = FolderChecker().check(self.folder(broken))
             self.assertTrue(
