--- a/src/willowpost/state/entries.py
+++ b/src/willowpost/state/entries.py
@@ -1,13 +1,13 @@
 """The entries of the replicated tables, as immutable values.
 
-Their names in stored and transferred JSON stand in `state/codec.py` alone.
+Their names in stored and transferred JSON stand in `state/codec/` alone.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 from typing import Any
 
-from willowpost.state.lifecycle import DaemonState, OriginState
+from willowpost.state.lifecycle import STATES_IN_FORCE, DaemonState, OriginState
 from willowpost.state.results import Result
 from willowpost.wire.messages import Member
 
@@ -104,7 +104,7 @@
         slot: that registered it.
         state: see `OriginState`.
         token: names the incarnation of its process; None: it has no name.
-        slots: how many requests it works on at once; 0: not said.
+        slots: how many requests it works on at once; 0: not reported.
         heartbeat_number: of the last heartbeat that changed the entry; 0: none.
         reports_warm_up: whether its heartbeats say for how long it still warms up.
         warming_up_since_slot: the slot that last let it warm up again; None: none did.
@@ -126,7 +126,7 @@
     @property
     def is_in_force(self) -> bool:
         """Whether it takes new requests, unless its zone is evacuated."""
-        return self.state in (OriginState.WARMING_UP, OriginState.WARM)
+        return self.state in STATES_IN_FORCE
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/proxy/origin/test_exchange.py
+++ b/tests/proxy/origin/test_exchange.py
@@ -16,9 +16,9 @@
 
 from tests.support.scripted_proxy import Scripted, echoed, head, sealed
 from tests.support.served import ScriptedOrigin, answer
-from willowpost.proxy.origin.answer_reader import AnswerReader
 from willowpost.proxy.origin.exchange import Exchange
 from willowpost.proxy.origin.failure import ExchangeFailure
+from willowpost.proxy.origin.response_reader import ResponseReader
 from willowpost.shell.probe import probe_status
 
 SOURCES = Path(__file__).parents[3] / "src" / "willowpost"
@@ -119,7 +119,7 @@
         proxy.set_origins([refusing, taking], named=True, sealed=True)
         proxy.front.carrier.tries.origins.load[taking.address + "@1"] = 50
         body = b"x" * 900_000
-        with mock.patch.object(proxy.front, "body_most", lambda asked: 10**7):
+        with mock.patch.object(proxy.front, "body_limit_bytes", lambda asked: 10**7):
             code, said, _ = proxy.ask("POST", "/once/1", body, wp_request="n1")
         # either the answer was still there and is followed by another try, or the request may have
         # run; never a second try on the mere word of a reset
@@ -151,9 +151,9 @@
         proxy.clock.time += 2_000_000
         proxy.node_state.fresh_as_of = proxy.clock.time
         self.assertEqual(b"one", proxy.ask("GET", "/kept/1", wp_request="n1")[1])
-        (entry,) = proxy.cache.held[("h.example", "/kept/1")]
+        (entry,) = proxy.cache.entries[("h.example", "/kept/1")]
         self.assertEqual(("b",), entry.tags)
-        self.assertEqual({"b"}, set(proxy.cache.tagged))
+        self.assertEqual({"b"}, set(proxy.cache.tag_index.keys_by_tag))
 
     def test_bodies_where_none_may_be_end_the_connection(self):
         for method, status in (("HEAD", "200 OK"), ("GET", "204 No Content")):
@@ -189,7 +189,7 @@
     def test_without_the_check_of_the_id_the_answer_of_another_passes(self):
         proxy = self.served((sealed(), answer(b"whose", wp_seal="s")))
         proxy.ask("GET", "/again/1", wp_request="n1")
-        with mock.patch.object(AnswerReader, "_check_echo", lambda *args: None):
+        with mock.patch.object(ResponseReader, "_check_request_id", lambda *args: None):
             self.assertEqual(b"whose", proxy.ask("GET", "/again/2", wp_request="n2")[1])
 
 
@@ -251,7 +251,7 @@
                 for number, task in enumerate(tasks):
                     self.assertEqual(f"n{number}", task.get(timeout=5)[2]["wp-request"])
                 self.assertEqual(3, len(self.asked()))
-                self.assertEqual({}, dict(proxy.cache.held))
+                self.assertEqual({}, dict(proxy.cache.entries))
 
     def test_joined_reads_that_vary_by_a_header_get_their_own(self):
         def by_tongue(request):
--- a/tests/shell/test_single_threaded_daemons.py
+++ b/tests/shell/test_single_threaded_daemons.py
@@ -8,13 +8,13 @@
 import os
 import gevent
 from willowpost.shell.mesh import Mesh
-from willowpost.shell.sized_queue import inbox as make_inbox
+from willowpost.shell.sized_queue import create_inbox
 from willowpost.wire.messages import OriginHeartbeat
 
 def threads():
     return len(os.listdir("/proc/self/task"))
 
-inbox = make_inbox()
+inbox = create_inbox()
 first, second = Mesh("127.0.0.1:0", inbox), Mesh("127.0.0.1:0", inbox)
 for mesh in (first, second):
     mesh.start()
@@ -27,10 +27,10 @@
 """
 SETTINGS_WATCH = """
 import signal
-heard = gevent.event.Event()
-gevent.signal_handler(signal.SIGHUP, heard.set)
+signalled = gevent.event.Event()
+gevent.signal_handler(signal.SIGHUP, signalled.set)
 os.kill(os.getpid(), signal.SIGHUP)
-assert heard.wait(10)
+assert signalled.wait(10)
 assert threads() == 1, threads()
 """
 # what the check would see if a name were looked up: gevent asks its resolver in a thread
