--- a/src/willowpost/consensus/replica/ballot_exchange.py
+++ b/src/willowpost/consensus/replica/ballot_exchange.py
@@ -82,7 +82,7 @@
         if own is None or not node_state.is_voter or not is_due:
             return
         self.sent_at = now
-        resent = replace(own, again=True)
+        resent = replace(own, is_resend=True)
         plan.sends += [(address, resent) for address in node_state.other_addresses()]
 
 
--- a/src/willowpost/drill/soak/run.py
+++ b/src/willowpost/drill/soak/run.py
@@ -26,6 +26,8 @@
 SUPERVISE_SECONDS = 0.3
 CALLERS_EACH_EDGE = 6
 MODES = {Kind.ORIGINS_SLOW: "slow", Kind.ORIGINS_LOSE_ANSWERS: "lost"}
+# events in log lines that tell of a violated invariant, a failed request or a process that ends
+VIOLATION_EVENTS = ("invariant violated", "request failed", "broke down")
 
 
 class Soak:
@@ -270,5 +272,5 @@
             f"{key}: {line[:200]}"
             for key in self.fleet.processes
             for line in self.fleet.log_path(key).read_text(errors="replace").splitlines()
-            if '"message": "invariant' in line or "broke down" in line
+            if any(event in line for event in VIOLATION_EVENTS)
         ]
--- a/src/willowpost/model/protections.py
+++ b/src/willowpost/model/protections.py
@@ -102,14 +102,14 @@
 def _holds_previous_quorum(node_state: Any) -> bool:
     previous = node_state.tables.previous_voter_identities()
     index = barrier.quorum_index(previous, node_state.synced_indexes, node_state.thresholds)
-    return index >= node_state.tables.epoch_first_slot()
+    return bool(index >= node_state.tables.epoch_first_slot())
 
 
 def _holds_new_quorum(node_state: Any) -> bool:
     index = barrier.quorum_index(
         node_state.voter_addresses, node_state.synced_indexes, node_state.thresholds
     )
-    return index >= node_state.tables.epoch_first_slot()
+    return bool(index >= node_state.tables.epoch_first_slot())
 
 
 def _forgetting_the_ballot_state() -> Replacement:
--- a/src/willowpost/proxy/admission/quota_share_client.py
+++ b/src/willowpost/proxy/admission/quota_share_client.py
@@ -65,10 +65,10 @@
         request, service_name = self.pending.pop(response.nonce), response.service
         if service_name != request.service_name:
             return
-        if response.fence != fencing_token_of(self.node_state, service_name):
+        if response.fencing_token != fencing_token_of(self.node_state, service_name):
             return
         grant = Grant(
-            response.rate / THOUSANDTHS, request.sent_at + GRANT_DURATION_US, response.fence
+            response.rate / THOUSANDTHS, request.sent_at + GRANT_DURATION_US, response.fencing_token
         )
         self.node_state.grants = {**self.node_state.grants, service_name: grant}
 
--- a/src/willowpost/proxy/metrics.py
+++ b/src/willowpost/proxy/metrics.py
@@ -53,7 +53,7 @@
             self._outgoing.count_orphaned(),
         )
         yield _gauge("log_slot", "The slot that the tables have.", self._node_state.tables.slot)
-        age = self._node_state.age(self._front.now())
+        age = self._node_state.tables_age(self._front.now())
         if age is not None:
             yield _gauge("tables_age_seconds", "The age of the tables.", age / SECOND)
 
--- a/src/willowpost/proxy/origin/load_reports.py
+++ b/src/willowpost/proxy/origin/load_reports.py
@@ -41,9 +41,9 @@
 
 
 class OriginLoadReports:
-    """Updates `node_state.reports` and `node_state.reported_warm_up` by the heartbeats of known origins.
+    """Updates `reports` and `reported_warm_up` of the state by known origins' heartbeats.
 
-    `reports` has a LoadReport by origin; `cold` has a WarmUpReport by origin.
+    `reports` has a LoadReport by origin; `reported_warm_up` has a WarmUpReport by origin.
     """
 
     def __init__(self, node_state: ProxyState) -> None:
--- a/src/willowpost/proxy/routing/attempt_resources.py
+++ b/src/willowpost/proxy/routing/attempt_resources.py
@@ -9,6 +9,7 @@
 from willowpost.proxy.admission.retry_budget import RetryBudget
 from willowpost.proxy.admission.slow_start import SlowStartAdmission
 from willowpost.proxy.origin.instance_check import InstanceCheck
+from willowpost.proxy.origin.request import OriginRequest
 from willowpost.proxy.origin.response import OriginResponse, RequestIdEcho
 from willowpost.proxy.origin.selection import OriginSelector
 from willowpost.proxy.outgoing import OutgoingRequests
@@ -26,17 +27,14 @@
 class ForwardExchange(Protocol):
     """One request and its response on a connection; see origin/exchange.py."""
 
-    reused: bool
+    is_reused: bool
 
     def check_instance(self, instance_check: InstanceCheck, seconds: float) -> None:
         """Asks which process answers; see `Exchange.check_instance`."""
 
     def run(
         self,
-        method: str,
-        target: str,
-        headers: list[tuple[str, str]],
-        body: bytes,
+        request: OriginRequest,
         seconds: float,
         whole_max: int,
         echo: RequestIdEcho | None = None,
@@ -62,10 +60,10 @@
 
     waiter: Callable[[], Waiter]
 
-    def token(self, service: str, origin: str, /) -> bool:
+    def request_token(self, service: str, origin: str, /) -> bool:
         """Requests an admission token; False if there is none."""
 
-    def room(self, owner: str, limit: int | None, /) -> bool:
+    def has_capacity(self, owner: str, limit: int | None, /) -> bool:
         """Whether a request to this owner may have a connection, with at most `limit` open."""
 
     def open(
@@ -73,7 +71,7 @@
     ) -> ForwardExchange:
         """Returns a connection to the owner."""
 
-    def finish(
+    def release(
         self, owner: str, exchange: Any, may_reuse: bool, response: OriginResponse | None, /
     ) -> None:
         """Ends the use of a connection."""
--- a/src/willowpost/registry/api/log_client.py
+++ b/src/willowpost/registry/api/log_client.py
@@ -99,7 +99,7 @@
         """The events that the node handles next."""
         ...
 
-    def ask(self, *operations: Operation, timeout: float) -> SubmissionOutcome | None:
+    def submit(self, *operations: Operation, timeout: float) -> SubmissionOutcome | None:
         """Submit operations to the log; None: no outcome within `timeout` seconds."""
         ...
 
--- a/src/willowpost/registry/api/responses.py
+++ b/src/willowpost/registry/api/responses.py
@@ -1,8 +1,9 @@
 """Responses of the control API that several groups of calls share."""
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from dataclasses import dataclass
 
+from willowpost.shell.validation_issue import ValidationIssue as PrintedIssue
 from willowpost.shell.web import Response, reject
 
 
@@ -23,7 +24,7 @@
         return {"place": self.location, "finding": self.message}
 
 
-def issues_from_json(findings: Iterable[Mapping[str, str]]) -> list[ValidationIssue]:
+def issues_from_json(findings: Iterable[PrintedIssue]) -> list[ValidationIssue]:
     """Return the issues that the checkers of configurations and models report as JSON."""
     return [ValidationIssue(finding["place"], finding["finding"]) for finding in findings]
 
--- a/src/willowpost/shell/web_server.py
+++ b/src/willowpost/shell/web_server.py
@@ -12,7 +12,8 @@
 # http.client takes it if it is there; nothing here uses TLS, and it costs 4 MB.
 with blocked_imports("ssl"):
     from gevent.pywsgi import Input as Input
-    from gevent.pywsgi import WSGIHandler, WSGIServer
+    from gevent.pywsgi import WSGIHandler as WSGIHandler  # for other handlers, too
+    from gevent.pywsgi import WSGIServer
 
 # A peer that vanishes without closing (power loss, partition) is noticed within 30 s, whether it
 # owes an acknowledgement or the connection is idle: (level, option) -> value.
--- a/src/willowpost/store/daemon.py
+++ b/src/willowpost/store/daemon.py
@@ -103,6 +103,7 @@
             **identity_record(self._member(identity)),
             "may_bootstrap": settings.may_bootstrap,
         }
+        assert self.runner.disk is not None  # set by _load_records
         self.runner.disk.rotate([record])
         self.logger.log("disk", "empty folder, new identity", identity=identity)
         return [record]
