--- a/src/willowpost/shell/settings.py
+++ b/src/willowpost/shell/settings.py
@@ -20,7 +20,6 @@
 Address = Annotated[str, Field(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
 
-DECISION_COUNTS = frozenset({"keep", "rotate"})  # of PaceSettings; the others are milliseconds
 MAX_PORT = 65535
 MAX_OCTET = 255
 
@@ -41,10 +40,14 @@
     def to_tuning(self) -> ReplicaTuning:
         """Return the timing in µs, as the replica takes it."""
         return ReplicaTuning(
-            **{
-                name: value if name in DECISION_COUNTS else value * MILLISECOND
-                for name, value in self.model_dump().items()
-            }
+            resend_interval_us=self.resend * MILLISECOND,
+            proposal_delay_us=self.freeze * MILLISECOND,
+            synced_index_interval_us=self.synced_index * MILLISECOND,
+            catchup_interval_us=self.ask * MILLISECOND,
+            quorum_read_interval_us=self.read * MILLISECOND,
+            hello_interval_us=self.hello * MILLISECOND,
+            max_retained_decisions=self.keep,
+            max_segment_decisions=self.rotate,
         )
 
 
