--- a/src/willowpost/drill/history_size.py
+++ b/src/willowpost/drill/history_size.py
@@ -57,7 +57,7 @@
         elif plan.records:
             self.disk.append(plan.records)
         # while a segment is written the old one is still there
-        self.largest = max(self.largest, self.disk.end + before)
+        self.largest = max(self.largest, self.disk.synced_bytes + before)
 
     def size(self) -> int:
         """Bytes of all files in the folder."""
