--- a/src/willowpost/drill/tools.py
+++ b/src/willowpost/drill/tools.py
@@ -16,7 +16,8 @@
 from willowpost.sim.fleet.fault_schedule import FleetFaultSchedule
 from willowpost.sim.pace import PaceMeasure
 from willowpost.sim.replacement_faults import ReplacementFaultSchedule
-from willowpost.toolbox.folder import FolderChecker, LogReplay
+from willowpost.toolbox.folder_checker import FolderChecker, FolderIssue
+from willowpost.toolbox.log_replay import LogReplay
 
 
 class CheckCommand(Command):
@@ -30,12 +31,12 @@
     help = "Exits with 1 when there is a finding. Writes nothing; the store may be running."
 
     def handle(self) -> int:
-        """Print findings and facts; 1 if there is a finding."""
-        findings, facts = FolderChecker().check(self.argument("folder"))
-        for finding in findings:
-            self.line(json.dumps({"place": finding.place, "finding": finding.finding}))
-        self.line(json.dumps(facts))
-        return 1 if findings else 0
+        """Print issues and facts; 1 if there is an issue."""
+        report = FolderChecker().check(self.argument("folder"))
+        for issue in report.issues:
+            self.line(json.dumps(issue.to_json()))
+        self.line(json.dumps(report.facts.to_json() if report.facts else {}))
+        return 1 if report.issues else 0
 
 
 class ReplayCommand(Command):
@@ -57,7 +58,9 @@
                 self.argument("folder"), int(self.option("slot")) if self.option("slot") else None
             )
         except (ValueError, OSError) as problem:
-            self.line_error(json.dumps({"place": self.argument("folder"), "finding": str(problem)}))
+            self.line_error(
+                json.dumps(FolderIssue(self.argument("folder"), str(problem)).to_json())
+            )
             return 2
         self.line(json.dumps(json.loads(tables.text()), indent=1))
         return 0
--- a/src/willowpost/toolbox/__init__.py
+++ b/src/willowpost/toolbox/__init__.py
@@ -0,0 +1,1 @@
+"""Offline checks of a store's data folder, log replay, and previews of operators' changes."""
--- a/src/willowpost/toolbox/planner.py
+++ b/src/willowpost/toolbox/planner.py
@@ -1,6 +1,7 @@
-"""What a configuration or an emptied zone would change, told before it is sent. Changes nothing."""
+"""Previews what a configuration or the evacuation of a zone would change. Changes nothing."""
 
-from dataclasses import asdict
+from collections.abc import Iterator, Mapping
+from dataclasses import asdict, dataclass
 from typing import Any
 
 from willowpost.configuration.routes import Route, routes_of
@@ -11,77 +12,120 @@
 from willowpost.state.tables import Tables
 
 
-def _routes(tree: dict[str, Any] | None) -> dict[str, Route]:
+def _routes_by_name(tree: dict[str, Any] | None) -> dict[str, Route]:
     return {route.name: route for route in routes_of(tree)} if tree else {}
 
 
-def _changed(before: Route, after: Route) -> dict[str, list[Any]]:
-    """What differs of a route; an absent kind and an empty split are told as null and []."""
+def _changed_fields(before: Route, after: Route) -> dict[str, list[Any]]:
+    """[before, after] of each field that differs; an absent kind is null, an empty split []."""
     old, new = asdict(before), asdict(after)
     return {name: [old[name], new[name]] for name in new if old[name] != new[name]}
 
 
+def _added_and_removed(before: Mapping[str, Any], after: Mapping[str, Any]) -> dict[str, Any]:
+    return {
+        "added": sorted(after.keys() - before.keys()),
+        "removed": sorted(before.keys() - after.keys()),
+    }
+
+
+def _changed_names(before: Mapping[str, Any], after: Mapping[str, Any]) -> list[str]:
+    return [name for name in sorted(after.keys() & before.keys()) if after[name] != before[name]]
+
+
 class ConfigurationPlanner:
-    """Invariant: the plan is worked out from the tables and the checked tree alone."""
+    """Works out a configuration's effect from the tables and the checked tree alone."""
 
     def plan(self, tables: Tables, tree: dict[str, Any]) -> dict[str, Any]:
-        """Routes and services that would be added, removed and changed, with warnings."""
-        before, after = _routes(tables.configuration.tree), _routes(tree)
+        """Routes and services that would be added, removed and changed, with warnings.
+
+        Args:
+            tables: The replicated tables in force.
+            tree: The checked tree of the new configuration.
+
+        Returns:
+            The body of the /v1 plan call.
+        """
+        routes_before, routes_after = (
+            _routes_by_name(tables.configuration.tree),
+            _routes_by_name(tree),
+        )
         services_before = tables.configuration.services
         services_after = tree.get("services", {})
-        reached = {service for route in after.values() for service in route.services}
-        in_force = {origin.service for origin in tables.origins.values() if origin.is_in_force}
         return {
             "version": tables.configuration.version,
             "routes": {
-                "added": sorted(after.keys() - before.keys()),
-                "removed": sorted(before.keys() - after.keys()),
+                **_added_and_removed(routes_before, routes_after),
                 "changed": {
-                    name: _changed(before[name], after[name])
-                    for name in sorted(after.keys() & before.keys())
-                    if after[name] != before[name]
+                    name: _changed_fields(routes_before[name], routes_after[name])
+                    for name in _changed_names(routes_before, routes_after)
                 },
             },
             "services": {
-                "added": sorted(services_after.keys() - services_before.keys()),
-                "removed": sorted(services_before.keys() - services_after.keys()),
+                **_added_and_removed(services_before, services_after),
                 "changed": {
                     name: [services_before[name], services_after[name]]
-                    for name in sorted(services_after.keys() & services_before.keys())
-                    if services_after[name] != services_before[name]
+                    for name in _changed_names(services_before, services_after)
                 },
             },
-            "warnings": [
-                f"service {name} has no origin in force" for name in sorted(reached - in_force)
-            ]
-            + [
-                f"origins of service {name} would have no route"
-                for name in sorted(in_force - reached)
-            ],
+            "warnings": list(self._warnings(tables, routes_after)),
+        }
+
+    def _warnings(self, tables: Tables, routes: dict[str, Route]) -> Iterator[str]:
+        routed = {service for route in routes.values() for service in route.services}
+        in_force = {origin.service for origin in tables.origins.values() if origin.is_in_force}
+        for name in sorted(routed - in_force):
+            yield f"service {name} has no origin in force"
+        for name in sorted(in_force - routed):
+            yield f"origins of service {name} would have no route"
+
+
+@dataclass(frozen=True, slots=True)
+class _ServiceCapacity:
+    """A service's origins and their rates (requests/s), before and after an evacuation.
+
+    Attributes:
+        configured_rate: The service's rate limit; None if its configuration sets none.
+    """
+
+    origins_before: int
+    origins_after: int
+    rate_before: float
+    rate_after: float
+    configured_rate: float | None
+
+    def to_json(self) -> dict[str, Any]:
+        """The service's entry in the /v1 plan of a zone."""
+        return {
+            "origins": [self.origins_before, self.origins_after],
+            "rate": [self.rate_before, self.rate_after],
+            "allowance": self.configured_rate,
         }
 
 
 class ZonePlanner:
-    """Invariant: what is left is worked out by the very code that makes a proxy's snapshot."""
+    """Works out an evacuation's effect with the code that makes a proxy's routing snapshot."""
 
     def plan(self, tables: Tables, zone: str) -> dict[str, Any]:
-        """What would be left of each service, with warnings."""
+        """What would remain of each service, with warnings.
+
+        Args:
+            tables: The replicated tables in force.
+            zone: The zone to evacuate.
+
+        Returns:
+            The body of the /v1 plan call.
+        """
         evacuated = apply_operation(tables, EvacuateZone(zone, is_evacuated=True)).tables
         before, after = SnapshotMaker().make(tables), SnapshotMaker().make(evacuated)
-        allowed = {
-            name
-            for name, service in tables.configuration.services.items()
-            if service.get("rate") is not None
-        }
-        services: dict[str, dict[str, Any]] = {
-            name: {
-                "origins": [len(service.origins), len(after.services[name].origins)],
-                "rate": [
-                    sum(origin.rate for origin in service.origins),
-                    sum(origin.rate for origin in after.services[name].origins),
-                ],
-                "allowance": service.rate if name in allowed else None,
-            }
+        services = {
+            name: _ServiceCapacity(
+                origins_before=len(service.origins),
+                origins_after=len(after.services[name].origins),
+                rate_before=sum(origin.rate for origin in service.origins),
+                rate_after=sum(origin.rate for origin in after.services[name].origins),
+                configured_rate=service.rate if _has_rate(tables, name) else None,
+            )
             for name, service in before.services.items()
         }
         edges = [
@@ -89,22 +133,34 @@
             for daemon in tables.daemons.values()
             if daemon.kind == "proxy" and daemon.role == "edge" and daemon.state is DaemonState.UP
         ]
+        warnings = [*_origin_warnings(services), *_rate_warnings(services)]
+        if before.shields and not after.shields:
+            warnings.append("no shield would be left")
         return {
             "zone": zone,
-            "services": services,
+            "services": {name: capacity.to_json() for name, capacity in services.items()},
             "shields": [len(before.shields), len(after.shields)],
             "edges": [len(edges), sum(edge.zone != zone for edge in edges)],
             "voters there, which stay": sum(voter.zone == zone for voter in tables.voters),
-            "warnings": [
-                f"service {name} would have no origin in force"
-                for name, left in services.items()
-                if left["origins"][0] and not left["origins"][1]
-            ]
-            + [
-                f"service {name}: what is left bears {left['rate'][1]:.0f} "
-                f"of an allowance of {left['allowance']:.0f}"
-                for name, left in services.items()
-                if left["allowance"] is not None and 0 < left["rate"][1] < left["allowance"]
-            ]
-            + (["no shield would be left"] if before.shields and not after.shields else []),
+            "warnings": warnings,
         }
+
+
+def _has_rate(tables: Tables, service: str) -> bool:
+    return tables.configuration.services.get(service, {}).get("rate") is not None
+
+
+def _origin_warnings(services: dict[str, _ServiceCapacity]) -> Iterator[str]:
+    for name, capacity in services.items():
+        if capacity.origins_before and not capacity.origins_after:
+            yield f"service {name} would have no origin in force"
+
+
+def _rate_warnings(services: dict[str, _ServiceCapacity]) -> Iterator[str]:
+    for name, capacity in services.items():
+        configured_rate = capacity.configured_rate
+        if configured_rate is not None and 0 < capacity.rate_after < configured_rate:
+            yield (
+                f"service {name}: what is left bears {capacity.rate_after:.0f} "
+                f"of an allowance of {configured_rate:.0f}"
+            )
