--- a/src/willowpost/drill/control_history.py
+++ b/src/willowpost/drill/control_history.py
@@ -17,7 +17,7 @@
     Outcome,
     Request,
 )
-from willowpost.history.search import Finding
+from willowpost.history.search import Linearizability
 
 ACCEPTED = 200
 REFUSED = (409, 412)  # the order was sound, and has not taken effect
@@ -52,13 +52,13 @@
     def answered(self, number: int, reply) -> None:
         """Record what `ask` gave: (code, headers, value), or None when nobody answered."""
         if reply is None or reply[0] >= UNSURE:
-            self.recorder.answered(number, Answer(Outcome.UNKNOWN))
+            self.recorder.record_answer(number, Answer(Outcome.UNKNOWN))
         elif reply[0] in REFUSED:
-            self.recorder.answered(number, Answer(Outcome.REFUSED))
+            self.recorder.record_answer(number, Answer(Outcome.REFUSED))
         elif reply[0] == ACCEPTED:
             self._accepted(number, reply[2] or {})
         else:
-            self.recorder.forget(number)
+            self.recorder.discard(number)
 
     def calls(self):
         """All calls so far, with the digests of their configurations."""
@@ -70,12 +70,14 @@
 
     def judge(self, findings) -> None:
         """Add a row: whether every register's calls have an explanation."""
-        verdicts = HistoryChecker().judge(self.calls())
-        bad = [verdict for verdict in verdicts if verdict.finding is not Finding.EXPLAINED]
+        verdicts = HistoryChecker().check(self.calls())
+        bad = [
+            verdict for verdict in verdicts if verdict.result is not Linearizability.LINEARIZABLE
+        ]
         seen = f"{sum(verdict.calls for verdict in verdicts)} calls"
         for verdict in bad:
             lines = "; ".join(call.describe() for call in verdict.window)
-            seen += f", {verdict.key} {verdict.finding.value}: {lines}"
+            seen += f", {verdict.key} {verdict.result.value}: {lines}"
         findings.add("the operators' calls are linearizable", seen, not bad)
 
     def write(self, path: str) -> None:
@@ -85,8 +87,8 @@
     def _accepted(self, number, value):
         if "configuration" in value:
             self._read[number] = value["configuration"]
-        self.recorder.answered(
-            number, Answer(Outcome.OK, value.get("version"), changed=value.get("changed"))
+        self.recorder.record_answer(
+            number, Answer(Outcome.OK, value.get("version"), is_changed=value.get("changed"))
         )
 
     def _request(self, method, path, value, headers) -> Request | None:
--- a/src/willowpost/drill/history_command.py
+++ b/src/willowpost/drill/history_command.py
@@ -7,9 +7,13 @@
 
 from willowpost.history.checker import HistoryChecker, Verdict
 from willowpost.history.codec import HistoryFormatError, read_history
-from willowpost.history.search import Finding
+from willowpost.history.search import Linearizability
 
-EXIT_CODES = {Finding.EXPLAINED: 0, Finding.UNEXPLAINED: 1, Finding.UNDECIDED: 3}
+EXIT_CODES = {
+    Linearizability.LINEARIZABLE: 0,
+    Linearizability.NOT_LINEARIZABLE: 1,
+    Linearizability.UNDECIDED: 3,
+}
 UNREADABLE = 2
 
 
@@ -25,25 +29,25 @@
   <info>wpdrill check history /tmp/history.jsonl</info>"""
 
     def handle(self) -> int:
-        """Judge the file; the exit code says the worst finding."""
+        """Judge the file; the exit code says the worst result."""
         try:
             calls = read_history(self.argument("file"))
         except (HistoryFormatError, OSError) as problem:
             self.line_error(json.dumps({"place": self.argument("file"), "finding": str(problem)}))
             return UNREADABLE
-        verdicts = HistoryChecker().judge(calls)
+        verdicts = HistoryChecker().check(calls)
         for verdict in verdicts:
             self._print(verdict)
         if not verdicts:
             self.line("no calls to judge")
-        findings = {verdict.finding for verdict in verdicts}
-        if Finding.UNEXPLAINED in findings:
-            return EXIT_CODES[Finding.UNEXPLAINED]
-        return max((EXIT_CODES[finding] for finding in findings), default=0)
+        results = {verdict.result for verdict in verdicts}
+        if Linearizability.NOT_LINEARIZABLE in results:
+            return EXIT_CODES[Linearizability.NOT_LINEARIZABLE]
+        return max((EXIT_CODES[result] for result in results), default=0)
 
     def _print(self, verdict: Verdict) -> None:
         self.line(
-            f"{verdict.key}: {verdict.finding.value}, {verdict.calls} calls, {verdict.steps} steps"
+            f"{verdict.key}: {verdict.result.value}, {verdict.calls} calls, {verdict.steps} steps"
         )
         if verdict.window:
             began = min(call.invoked_at for call in verdict.window)
--- a/src/willowpost/history/checker.py
+++ b/src/willowpost/history/checker.py
@@ -1,28 +1,30 @@
-"""Judges a history: key by key, and with the shortest part of it that has no explanation."""
+"""Checks a history key by key, and finds the shortest window of it that is not linearizable."""
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 from willowpost.history.records import CONFIGURATION_KEY, PURGE_KEY, Call
 from willowpost.history.registers import ConfigurationRegister, EvacuationRegister
-from willowpost.history.search import STEPS_MOST, Finding, LinearizationSearch
-from willowpost.history.window import UnexplainedWindow
+from willowpost.history.search import MAX_SEARCH_STEPS, Linearizability, LinearizationSearch
+from willowpost.history.specification import SequentialSpecification, State
+from willowpost.history.violation_window import ViolationWindow
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What was found for one key.
+    """The result for one key.
 
     Attributes:
         key: The register's key.
-        finding: Whether its calls have a linearization.
-        calls: How many calls were judged.
+        result: Whether its calls have a linearization.
+        calls: How many calls were checked.
         steps: Steps of the search.
-        window: If unexplained: the answered calls of a short part of the history that has no
-            explanation, whatever stood before it.
+        window: If not linearizable: the answered calls of a short window of the history that is
+            not linearizable, whatever came before it.
     """
 
     key: str
-    finding: Finding
+    result: Linearizability
     calls: int
     steps: int
     window: tuple[Call, ...] = ()
@@ -32,30 +34,38 @@
     """Linearizability check of the control registers.
 
     Args:
-        steps_most: Bound of the search for each key; beyond it the finding is UNDECIDED.
+        max_steps: Limit of the search for each key; beyond it the result is UNDECIDED.
     """
 
-    def __init__(self, steps_most: int = STEPS_MOST):
-        self.steps_most = steps_most
+    def __init__(self, max_steps: int = MAX_SEARCH_STEPS) -> None:
+        self.max_steps = max_steps
 
-    def judge(self, calls) -> tuple[Verdict, ...]:
+    def check(self, calls: Iterable[Call]) -> tuple[Verdict, ...]:
         """A verdict for each key, by name. Purges change no register and are passed over."""
         by_key: dict[str, list[Call]] = {}
         for call in calls:
             if call.request.key != PURGE_KEY:
                 by_key.setdefault(call.request.key, []).append(call)
-        return tuple(self._judge_key(key, tuple(by_key[key])) for key in sorted(by_key))
+        return tuple(self._check_key(key, by_key[key]) for key in sorted(by_key))
 
-    def _judge_key(self, key: str, calls: tuple[Call, ...]) -> Verdict:
-        register = register_of(key)
-        linearization = LinearizationSearch(register, calls, self.steps_most)
-        finding = linearization.run()
+    def _check_key(self, key: str, calls: list[Call]) -> Verdict:
+        match register_of(key):
+            case ConfigurationRegister() as register:
+                return self._check_register(key, register, calls)
+            case EvacuationRegister() as zone_register:
+                return self._check_register(key, zone_register, calls)
+
+    def _check_register(
+        self, key: str, register: SequentialSpecification[State], calls: list[Call]
+    ) -> Verdict:
+        search = LinearizationSearch(register, calls, self.max_steps)
+        result = search.run()
         window: tuple[Call, ...] = ()
-        if finding is Finding.UNEXPLAINED:
-            window = UnexplainedWindow(register).of(calls)
-        return Verdict(key, finding, len(calls), linearization.steps, window)
+        if result is Linearizability.NOT_LINEARIZABLE:
+            window = ViolationWindow(register).find(calls)
+        return Verdict(key, result, len(calls), search.steps, window)
 
 
-def register_of(key: str):
+def register_of(key: str) -> ConfigurationRegister | EvacuationRegister:
     """The sequential specification of a key."""
     return ConfigurationRegister() if key == CONFIGURATION_KEY else EvacuationRegister()
--- a/src/willowpost/history/content.py
+++ b/src/willowpost/history/content.py
@@ -5,7 +5,7 @@
 from willowpost.common.digest import blake2b
 
 
-def content_of(tree) -> str | None:
+def content_of(tree: object) -> str | None:
     """A digest of a configuration's tree, whatever the order of its keys; None if there is none."""
     if tree is None:
         return None
--- a/src/willowpost/history/recorder.py
+++ b/src/willowpost/history/recorder.py
@@ -1,5 +1,6 @@
 """Records calls while they are made."""
 
+from collections.abc import Callable
 from dataclasses import replace
 
 from willowpost.history.records import Answer, Call, Outcome, Request
@@ -12,27 +13,27 @@
         clock: Gives the time in µs; every caller of the history must share it.
     """
 
-    def __init__(self, clock):
+    def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
         self._calls: dict[int, Call] = {}
-        self._last = 0
+        self._last_number = 0
 
     def invoke(self, caller: str, request: Request) -> int:
-        """Record that a call is about to be sent; the number names it from now on."""
-        self._last += 1
-        self._calls[self._last] = Call(self._last, caller, request, self.clock())
-        return self._last
+        """Record that a call is about to be sent; returns its number in the history."""
+        self._last_number += 1
+        self._calls[self._last_number] = Call(self._last_number, caller, request, self.clock())
+        return self._last_number
 
-    def answered(self, number: int, answer: Answer) -> None:
+    def record_answer(self, number: int, answer: Answer) -> None:
         """Record a call's answer.
 
         An unknown outcome has no end: the call may still take effect.
         """
-        ended = None if answer.outcome is Outcome.UNKNOWN else self.clock()
-        self._calls[number] = replace(self._calls[number], returned_at=ended, answer=answer)
+        returned_at = None if answer.outcome is Outcome.UNKNOWN else self.clock()
+        self._calls[number] = replace(self._calls[number], returned_at=returned_at, answer=answer)
 
-    def forget(self, number: int) -> None:
-        """Take a call out: it was no well-formed order."""
+    def discard(self, number: int) -> None:
+        """Remove a call that was not well formed, and so concerns no register."""
         self._calls.pop(number, None)
 
     def set_sent_content(self, number: int, content: str | None) -> None:
--- a/src/willowpost/history/records.py
+++ b/src/willowpost/history/records.py
@@ -1,20 +1,31 @@
-"""Typed records of calls: who asked for what, when, and what the caller was told.
+"""Typed records of calls: who requested what, when, and how it was answered.
 
 Times are whole microseconds of one clock that all callers of a history share.
 """
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
 
+from willowpost.common.errors import WillowpostError
+
 CONFIGURATION_KEY = "configuration"
 ZONE_PREFIX = "zone/"
 PURGE_KEY = "purge"
 
 
+class UnansweredCallError(WillowpostError, ValueError):
+    """The time of an answer was read of a call that has none."""
+
+
+class MissingVersionError(WillowpostError, ValueError):
+    """A numbered replace names no number."""
+
+
 class Operation(Enum):
-    """What a call asks for."""
+    """What a call requests."""
 
-    REPLACE = "replace"  # a configuration under the operator's own number; the highest holds
+    REPLACE = "replace"  # a configuration under the operator's own number; the highest is in force
     PUT = "put"  # a configuration under the next number, conditional if `version` is given
     READ = "read"  # the configuration in force
     EVACUATION_BEGIN = "evacuation_begin"
@@ -24,7 +35,7 @@
 
 
 class Outcome(Enum):
-    """What the caller was told."""
+    """How a call ended for its caller."""
 
     OK = "ok"
     REFUSED = "refused"  # the call has not taken effect and never will
@@ -33,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a call says.
+    """What a call requests.
 
     Attributes:
-        operation: What is asked for.
+        operation: What is requested.
         key: The register it concerns: `configuration`, `zone/NAME` or `purge`.
         version: REPLACE: the operator's number. PUT: the version it must replace, or None.
         content: REPLACE and PUT: a digest of the configuration.
@@ -47,6 +58,16 @@
     version: int | None = None
     content: str | None = None
 
+    def require_version(self) -> int:
+        """The number that the request names.
+
+        Raises:
+            MissingVersionError: It names none.
+        """
+        if self.version is None:
+            raise MissingVersionError(f"{self.operation.value} without a version")
+        return self.version
+
 
 @dataclass(frozen=True, slots=True)
 class Answer:
@@ -56,16 +77,15 @@
         outcome: Whether it took effect.
         version: The version that the answer names, if it names one.
         content: READ: digest of what was read, None if there is none.
-        changed: REPLACE: whether the answer says that it changed something; None if it says
-            nothing.
-        evacuated: EVACUATION_READ: whether the zone is evacuated.
+        is_changed: REPLACE: whether the answer reports a change; None if it does not say.
+        is_evacuated: EVACUATION_READ: whether the zone is evacuated.
     """
 
     outcome: Outcome
     version: int | None = None
     content: str | None = None
-    changed: bool | None = None
-    evacuated: bool | None = None
+    is_changed: bool | None = None
+    is_evacuated: bool | None = None
 
 
 UNANSWERED = Answer(Outcome.UNKNOWN)
@@ -91,35 +111,43 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What the caller was told."""
+        """How the call ended for its caller."""
         return self.answer.outcome
 
+    def require_returned_at(self) -> int:
+        """When the answer came, in µs.
+
+        Raises:
+            UnansweredCallError: None came.
+        """
+        if self.returned_at is None:
+            raise UnansweredCallError(f"call {self.number} has no answer")
+        return self.returned_at
+
     def describe(self) -> str:
         """The call on one line."""
         request, answer = self.request, self.answer
-        asked = " ".join(
-            part
-            for part in (
-                request.operation.value,
-                request.key,
-                "" if request.version is None else f"version={request.version}",
-                "" if request.content is None else f"content={request.content}",
-            )
-            if part
+        requested = _describe_fields(
+            [request.operation.value, request.key],
+            {"version": request.version, "content": request.content},
         )
-        answered = " ".join(
-            part
-            for part in (
-                answer.outcome.value,
-                "" if answer.version is None else f"version={answer.version}",
-                "" if answer.content is None else f"content={answer.content}",
-                "" if answer.changed is None else f"changed={answer.changed}",
-                "" if answer.evacuated is None else f"evacuated={answer.evacuated}",
-            )
-            if part
+        answered = _describe_fields(
+            [answer.outcome.value],
+            {
+                "version": answer.version,
+                "content": answer.content,
+                "changed": answer.is_changed,
+                "evacuated": answer.is_evacuated,
+            },
         )
         end = "never" if self.returned_at is None else f"{self.returned_at / 1e6:.6f} s"
         return (
             f"[{self.invoked_at / 1e6:.6f} s .. {end}] #{self.number} {self.caller}: "
-            f"{asked} -> {answered}"
+            f"{requested} -> {answered}"
         )
+
+
+def _describe_fields(words: list[str], fields: Mapping[str, object]) -> str:
+    """The words, then NAME=VALUE of each field that has a value."""
+    named = [f"{name}={value}" for name, value in fields.items() if value is not None]
+    return " ".join([*words, *named])
--- a/src/willowpost/history/registers.py
+++ b/src/willowpost/history/registers.py
@@ -1,24 +1,13 @@
-"""Sequential specifications: what one call after the other may answer.
-
-A specification has an `initial` state (hashable) and these methods:
-
-- `apply(state, call)`: the states that the call may leave behind with the answer it got; none if
-  that answer is impossible in this state. For a call with an unknown outcome it gives the states in
-  which the call took effect.
-- `is_read(call)`: whether the call cannot change the state with the answer that it got.
-- `overtaken(state, call)`: whether the call's answer is impossible from this state on for ever.
-- `initial_states(calls, before)`: every state that the calls `before` may have left, as far as
-  `calls` can tell them apart.
-- `simplified(calls)`: calls with the same linearizations among which more are alike.
-"""
+"""The sequential specifications of the control registers; see `specification`."""
 
 from collections import Counter
-from dataclasses import dataclass, field, replace
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
 
 from willowpost.history.records import Answer, Call, Operation, Outcome, Request
 
-NOTHING_HELD = 0  # the version before the first configuration
-UNOBSERVED = "-"  # stands for every content that one put sent and nobody read
+NO_VERSION = 0  # the version before the first configuration
+UNOBSERVED = "-"  # replaces every content that one put sent and nobody read
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,12 +21,12 @@
         conditions: Every (condition, content) of a conditional put that took effect.
     """
 
-    version: int = NOTHING_HELD
+    version: int = NO_VERSION
     content: str | None = None
-    accepted: frozenset = field(default_factory=frozenset)
-    conditions: frozenset = field(default_factory=frozenset)
+    accepted: frozenset[tuple[int | None, str | None]] = frozenset()
+    conditions: frozenset[tuple[int | None, str | None]] = frozenset()
 
-    def holding(
+    def with_configuration(
         self, version: int, content: str | None, condition: int | None = None
     ) -> "ConfigurationState":
         """The state after a configuration took effect."""
@@ -53,12 +42,12 @@
 class ConfigurationRegister:
     """The control register: numbered replace, conditional and unconditional put, read.
 
-    - Replace: the highest number holds; a lower one is acknowledged and changes nothing. A number
-      that is held is acknowledged again with the same content, and with no other.
+    - Replace: the highest number is in force; a lower one is acknowledged and changes nothing. The
+      number in force is acknowledged again with the same content, and with no other.
     - Put: the next version; with a version, only in place of that version. A conditional put that
       took effect is acknowledged again with its version, and not refused.
-    - A refused call changes nothing. Refusal of a numbered replace above the held number, and of a
-      put whose condition holds, has no explanation.
+    - A refused call changes nothing. Refusal of a numbered replace above the number in force, and
+      of a put whose condition is met, is a violation.
     """
 
     initial = ConfigurationState()
@@ -73,14 +62,14 @@
         if request.operation is Operation.READ:
             return self._read(state, answer)
         if answer.outcome is Outcome.REFUSED:
-            return (state,) if self._may_refuse(state, request) else ()
+            return (state,) if self._may_reject(state, request) else ()
         if request.operation is Operation.REPLACE:
             return self._replace(state, request, answer)
         if request.operation is Operation.PUT:
             return self._put(state, request, answer)
         return ()
 
-    def overtaken(self, state: ConfigurationState, call: Call) -> bool:
+    def is_obsolete(self, state: ConfigurationState, call: Call) -> bool:
         """Versions only go up: what names a lower one cannot follow any more."""
         request, answer = call.request, call.answer
         if answer.outcome is not Outcome.OK or answer.version is None:
@@ -88,11 +77,11 @@
         if request.operation is Operation.READ:
             return answer.version < state.version
         if request.operation is Operation.PUT:
-            repeat = (answer.version, request.content) in state.accepted
-            return answer.version <= state.version and not repeat
+            is_repeat = (answer.version, request.content) in state.accepted
+            return answer.version <= state.version and not is_repeat
         return False
 
-    def simplified(self, calls) -> list[Call]:
+    def simplify(self, calls: Sequence[Call]) -> list[Call]:
         """The content of a put that was sent once and never read makes no difference."""
         read = {call.answer.content for call in calls}
         sent = Counter(call.request.content for call in calls)
@@ -105,15 +94,22 @@
             for call in calls
         ]
 
-    def initial_states(self, calls, before) -> list[ConfigurationState]:
+    def initial_states(
+        self, calls: Sequence[Call], before: Sequence[Call]
+    ) -> list[ConfigurationState]:
         """States with each version and content that the answers in `calls` could point to."""
         answers = [call.answer for call in calls if call.outcome is Outcome.OK]
-        named = [answer.version for answer in answers if answer.version is not None]
-        named += [call.request.version for call in calls if call.request.version is not None]
+        versions_named = [answer.version for answer in answers if answer.version is not None]
+        versions_named += [
+            call.request.version for call in calls if call.request.version is not None
+        ]
         unknown = sum(call.outcome is Outcome.UNKNOWN for call in calls)
-        versions = {NOTHING_HELD, max(named, default=NOTHING_HELD) + 1}
+        versions = {NO_VERSION, max(versions_named, default=NO_VERSION) + 1}
         versions |= {
-            version - back for version in named for back in range(unknown + 2) if version >= back
+            version - distance
+            for version in versions_named
+            for distance in range(unknown + 2)
+            if version >= distance
         }
         contents = {UNOBSERVED, *(answer.content for answer in answers)}
         contents |= {call.request.content for call in calls}
@@ -133,47 +129,52 @@
             for content in sorted(contents, key=str)
         ]
 
-    def _read(self, state, answer):
-        seen = (answer.version, answer.content)
-        return (state,) if seen == (state.version, state.content) else ()
+    def _read(self, state: ConfigurationState, answer: Answer) -> tuple[ConfigurationState, ...]:
+        observed = (answer.version, answer.content)
+        return (state,) if observed == (state.version, state.content) else ()
 
-    def _may_refuse(self, state, request: Request) -> bool:
+    def _may_reject(self, state: ConfigurationState, request: Request) -> bool:
         if request.operation is Operation.REPLACE:
-            same = (request.version, request.content) in state.accepted
-            return request.version <= state.version and not same
+            is_repeat = (request.version, request.content) in state.accepted
+            return request.require_version() <= state.version and not is_repeat
         if request.version is None:
-            return True  # whoever takes an unconditional put may find it overtaken
-        repeat = (request.version, request.content) in state.conditions
-        return request.version != state.version and not repeat
-
-    def _replace(self, state, request: Request, answer: Answer):
-        first = state.content is None and request.version >= state.version
-        if first or request.version > state.version:
-            after = state.holding(request.version, request.content)
-            return (after,) if self._names(answer, after.version) else ()
+            return True  # a concurrent put may have replaced the version it was to follow
+        is_repeat = (request.version, request.content) in state.conditions
+        return request.version != state.version and not is_repeat
+
+    def _replace(
+        self, state: ConfigurationState, request: Request, answer: Answer
+    ) -> tuple[ConfigurationState, ...]:
+        number = request.require_version()
+        is_first = state.content is None and number >= state.version
+        if is_first or number > state.version:
+            after = state.with_configuration(number, request.content)
+            return (after,) if self._confirms(answer, after.version) else ()
         if answer.outcome is Outcome.UNKNOWN:
             return ()
-        if request.version == state.version and request.content != state.content:
+        if number == state.version and request.content != state.content:
             return ()
-        repeat = (request.version, request.content) in state.accepted
+        is_repeat = (number, request.content) in state.accepted
         is_in_force = answer.version in (None, state.version) or (
-            repeat and answer.version == request.version
+            is_repeat and answer.version == number
         )
-        return (state,) if is_in_force and answer.changed is not True else ()
+        return (state,) if is_in_force and answer.is_changed is not True else ()
 
-    def _put(self, state, request: Request, answer: Answer):
-        found = []
+    def _put(
+        self, state: ConfigurationState, request: Request, answer: Answer
+    ) -> tuple[ConfigurationState, ...]:
+        successors = []
         if request.version in (None, state.version):
-            after = state.holding(state.version + 1, request.content, request.version)
-            if self._names(answer, after.version):
-                found.append(after)
-        known = (answer.version, request.content) in state.accepted
-        if known and answer.outcome is Outcome.OK:
-            found.append(state)
-        return tuple(found)
+            after = state.with_configuration(state.version + 1, request.content, request.version)
+            if self._confirms(answer, after.version):
+                successors.append(after)
+        is_repeat = (answer.version, request.content) in state.accepted
+        if is_repeat and answer.outcome is Outcome.OK:
+            successors.append(state)
+        return tuple(successors)
 
-    def _names(self, answer: Answer, version: int) -> bool:
-        return answer.version in (None, version) and answer.changed is not False
+    def _confirms(self, answer: Answer, version: int) -> bool:
+        return answer.version in (None, version) and answer.is_changed is not False
 
 
 class EvacuationRegister:
@@ -187,15 +188,15 @@
             call.request.operation is Operation.EVACUATION_READ or call.outcome is Outcome.REFUSED
         )
 
-    def overtaken(self, state: bool, call: Call) -> bool:
+    def is_obsolete(self, state: bool, call: Call) -> bool:
         """A zone may be evacuated again and again: nothing is."""
         return False
 
-    def simplified(self, calls) -> list[Call]:
+    def simplify(self, calls: Sequence[Call]) -> list[Call]:
         """The calls as they are."""
         return list(calls)
 
-    def initial_states(self, calls, before) -> list[bool]:
+    def initial_states(self, calls: Sequence[Call], before: Sequence[Call]) -> list[bool]:
         """Evacuated or not."""
         return [False, True]
 
@@ -209,5 +210,5 @@
             case Operation.EVACUATION_FINISH:
                 return (False,)
             case Operation.EVACUATION_READ:
-                return (state,) if call.answer.evacuated == state else ()
+                return (state,) if call.answer.is_evacuated == state else ()
         return ()
--- a/src/willowpost/sim/fleet/operators.py
+++ b/src/willowpost/sim/fleet/operators.py
@@ -54,9 +54,9 @@
     outcome = Outcome.OK if result.is_accepted else Outcome.REFUSED
     match result:
         case ConfigurationAccepted(version, is_changed):
-            return Answer(outcome, version, changed=is_changed)
+            return Answer(outcome, version, is_changed=is_changed)
         case Rejected(version=int() as version):
-            return Answer(outcome, version, changed=False)
+            return Answer(outcome, version, is_changed=False)
     return Answer(outcome)
 
 
@@ -146,7 +146,7 @@
             self.world.at(RESEND_AFTER, self._again, sending)
             return
         if sending.call is not None:
-            self.world.history.answered(sending.call, answer_of(results))
+            self.world.history.record_answer(sending.call, answer_of(results))
         if results is None:
             return
         result = results[0]
--- a/src/willowpost/sim/fleet/readers.py
+++ b/src/willowpost/sim/fleet/readers.py
@@ -13,12 +13,12 @@
     Outcome,
     Request,
 )
-from willowpost.history.search import Finding
+from willowpost.history.search import Linearizability
 
 READ_EVERY = 400 * MILLISECOND
 LOOK_EVERY = 20 * MILLISECOND
 READ_SPAN = 3 * SECOND  # a registry gives up a read after it
-HISTORY_STEPS_MOST = 200_000
+MAX_HISTORY_SEARCH_STEPS = 200_000
 
 
 class Readers:
@@ -67,11 +67,11 @@
         configuration = tables.configuration
         history = self.world.history
         digest = self._digest_of(configuration.tree)
-        history.answered(calls[0], Answer(Outcome.OK, configuration.version, digest))
+        history.record_answer(calls[0], Answer(Outcome.OK, configuration.version, digest))
         for call, zone in zip(calls[1:], self.world.shape.zones, strict=True):
             evacuation = tables.zone_evacuations.get(zone)
             is_evacuated = evacuation is not None and evacuation.is_evacuated
-            history.answered(call, Answer(Outcome.OK, evacuated=is_evacuated))
+            history.record_answer(call, Answer(Outcome.OK, is_evacuated=is_evacuated))
 
     def _digest_of(self, tree):
         if self._digest[0] is not tree:
@@ -81,11 +81,11 @@
     def judge(self) -> None:
         """Raise Broken if a part of the history has no explanation."""
         traffic = self.world.traffic
-        for verdict in HistoryChecker(HISTORY_STEPS_MOST).judge(self.world.history.calls()):
-            if verdict.finding is Finding.UNDECIDED:
+        for verdict in HistoryChecker(MAX_HISTORY_SEARCH_STEPS).check(self.world.history.calls()):
+            if verdict.result is Linearizability.UNDECIDED:
                 traffic.note_margin("histories that were not decided", 1)
             lines = "; ".join(call.describe() for call in verdict.window)
             traffic.say(
-                verdict.finding is not Finding.UNEXPLAINED,
+                verdict.result is not Linearizability.NOT_LINEARIZABLE,
                 f"history of {verdict.key.split('/')[0]} has no explanation: ({lines})",
             )
--- a/tests/history/test_history_checker.py
+++ b/tests/history/test_history_checker.py
@@ -1,4 +1,4 @@
-"""Histories made from a sequential register are explained; each injected violation is caught."""
+"""Histories of a sequential register are linearizable; each injected violation is found."""
 
 import random
 import tempfile
@@ -27,21 +27,21 @@
     Outcome,
     Request,
 )
-from willowpost.history.search import Finding, search
+from willowpost.history.search import Linearizability, search
 
 OK, REFUSED = Outcome.OK, Outcome.REFUSED
 ZONE = "zone/a"
 
 
-def judged(calls):
-    return {verdict.key: verdict for verdict in HistoryChecker().judge(calls)}
+def verdicts_by_key(calls):
+    return {verdict.key: verdict for verdict in HistoryChecker().check(calls)}
 
 
-class Maker:
+class HistoryMaker:
     """A register served one call after the other; the calls' intervals overlap at random."""
 
     def __init__(self, seed, unknown=0.2):
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         self.unknown = unknown
         self.version, self.content, self.evacuated = 0, None, False
         self.time = 0
@@ -53,25 +53,25 @@
         return self
 
     def one(self):
-        self.time += self.chance.randrange(1, 1000)
-        step = self.chance.choice(
+        self.time += self.random.randrange(1, 1000)
+        step = self.random.choice(
             (self.put, self.conditional, self.numbered, self.read, self.read, self.zone, self.seen)
         )
         step()
 
-    def call(self, request, answer, taken=True):
-        """`taken`: it took effect now; the caller may not hear of it either way."""
+    def call(self, request, answer, takes_effect=True):
+        """`takes_effect`: it took effect now; the caller may get no answer either way."""
         number = len(self.calls) + 1
-        invoked = self.time - self.chance.randrange(3000)
-        returned = self.time + self.chance.randrange(3000)
-        if not taken or self.chance.random() < self.unknown:
+        invoked = self.time - self.random.randrange(3000)
+        returned = self.time + self.random.randrange(3000)
+        if not takes_effect or self.random.random() < self.unknown:
             returned, answer = None, UNANSWERED
         self.calls.append(Call(number, "operator", request, invoked, returned, answer))
 
     def never(self):
-        return self.chance.random() < self.unknown / 2
+        return self.random.random() < self.unknown / 2
 
-    def hold(self, version, content):
+    def put_in_force(self, version, content):
         self.version, self.content = version, content
 
     def put(self, match=None):
@@ -80,23 +80,23 @@
         if match is not None and match != self.version:
             return self.call(request, Answer(REFUSED, self.version))
         if self.never():
-            return self.call(request, UNANSWERED, taken=False)
-        self.hold(self.version + 1, content)
+            return self.call(request, UNANSWERED, takes_effect=False)
+        self.put_in_force(self.version + 1, content)
         return self.call(request, Answer(OK, self.version))
 
     def conditional(self):
-        self.put(max(0, self.version - self.chance.randrange(2)))
+        self.put(max(0, self.version - self.random.randrange(2)))
 
     def numbered(self):
-        number = max(1, self.version + self.chance.randrange(-3, 5))
+        number = max(1, self.version + self.random.randrange(-3, 5))
         content = f"c{len(self.calls)}"
         if number == self.version:
             content = self.content
         request = Request(Operation.REPLACE, CONFIGURATION_KEY, number, content)
         if self.never():
-            return self.call(request, UNANSWERED, taken=False)
+            return self.call(request, UNANSWERED, takes_effect=False)
         if number > self.version:
-            self.hold(number, content)
+            self.put_in_force(number, content)
         return self.call(request, Answer(OK, self.version))
 
     def read(self):
@@ -105,15 +105,15 @@
         )
 
     def zone(self):
-        begin = self.chance.random() < 0.5
+        begin = self.random.random() < 0.5
         operation = Operation.EVACUATION_BEGIN if begin else Operation.EVACUATION_FINISH
         if self.never():
-            return self.call(Request(operation, ZONE), UNANSWERED, taken=False)
+            return self.call(Request(operation, ZONE), UNANSWERED, takes_effect=False)
         self.evacuated = begin
         return self.call(Request(operation, ZONE), Answer(OK))
 
     def seen(self):
-        self.call(Request(Operation.EVACUATION_READ, ZONE), Answer(OK, evacuated=self.evacuated))
+        self.call(Request(Operation.EVACUATION_READ, ZONE), Answer(OK, is_evacuated=self.evacuated))
 
     def later(self):
         """Let every call that is open now end before the next one is sent."""
@@ -129,16 +129,16 @@
         return self.calls[-1]
 
 
-class Explained(unittest.TestCase):
+class LinearizableHistories(unittest.TestCase):
     def test_overlapping_histories_of_a_sequential_register_are_explained(self):
         for seed in range(150):
             with self.subTest(seed=seed):
-                for verdict in judged(Maker(seed).make(60).calls).values():
-                    self.assertIs(Finding.EXPLAINED, verdict.finding)
+                for verdict in verdicts_by_key(HistoryMaker(seed).make(60).calls).values():
+                    self.assertIs(Linearizability.LINEARIZABLE, verdict.result)
 
     def test_a_long_history_is_judged_within_the_bound(self):
-        for verdict in judged(Maker(7, unknown=0.05).make(1500).calls).values():
-            self.assertIs(Finding.EXPLAINED, verdict.finding)
+        for verdict in verdicts_by_key(HistoryMaker(7, unknown=0.05).make(1500).calls).values():
+            self.assertIs(Linearizability.LINEARIZABLE, verdict.result)
 
     def test_an_unknown_outcome_may_take_effect_late_or_never(self):
         put = Call(1, "a", Request(Operation.PUT, CONFIGURATION_KEY, None, "x"), 0)
@@ -154,7 +154,9 @@
             Answer(OK, 1, "x"),
         )
         for calls in ((put, before), (put, before, after)):
-            self.assertIs(Finding.EXPLAINED, judged(calls)[CONFIGURATION_KEY].finding)
+            self.assertIs(
+                Linearizability.LINEARIZABLE, verdicts_by_key(calls)[CONFIGURATION_KEY].result
+            )
 
     def test_a_repeat_is_acknowledged_with_its_version(self):
         request = Request(Operation.PUT, CONFIGURATION_KEY, 0, "x")
@@ -162,24 +164,28 @@
         second = Call(2, "a", request, 10, 20, Answer(OK, 1))
         refused = replace(second, answer=Answer(REFUSED, 1))
         read = Call(3, "b", Request(Operation.READ, CONFIGURATION_KEY), 5, 6, Answer(OK, 1, "x"))
-        self.assertIs(Finding.EXPLAINED, judged((first, second, read))[CONFIGURATION_KEY].finding)
         self.assertIs(
-            Finding.UNEXPLAINED, judged((first, refused, read))[CONFIGURATION_KEY].finding
+            Linearizability.LINEARIZABLE,
+            verdicts_by_key((first, second, read))[CONFIGURATION_KEY].result,
+        )
+        self.assertIs(
+            Linearizability.NOT_LINEARIZABLE,
+            verdicts_by_key((first, refused, read))[CONFIGURATION_KEY].result,
         )
 
 
-class Injected(unittest.TestCase):
+class InjectedViolations(unittest.TestCase):
     """Each violation is put between two ordinary stretches of calls."""
 
-    def caught(self, inject, key):
+    def assert_found(self, inject, key):
         for seed in range(40):
             with self.subTest(seed=seed):
-                maker = Maker(seed).make(25)
+                maker = HistoryMaker(seed).make(25)
                 inject(maker)
                 maker.later()
                 maker.make(10)
                 calls = tuple(call for call in maker.calls if call.request.key == key)
-                self.assertIs(Finding.UNEXPLAINED, search(register_of(key), calls))
+                self.assertIs(Linearizability.NOT_LINEARIZABLE, search(register_of(key), calls))
 
     def test_a_stale_read(self):
         def inject(maker):
@@ -189,7 +195,7 @@
             read = maker.certain(maker.read)
             maker.calls[-1] = replace(read, answer=Answer(OK, *before))
 
-        self.caught(inject, CONFIGURATION_KEY)
+        self.assert_found(inject, CONFIGURATION_KEY)
 
     def test_a_lost_order_of_a_zone(self):
         def inject(maker):
@@ -199,9 +205,9 @@
             while maker.evacuated is not wanted:
                 maker.certain(maker.zone)
             read = maker.certain(maker.seen)
-            maker.calls[-1] = replace(read, answer=Answer(OK, evacuated=not wanted))
+            maker.calls[-1] = replace(read, answer=Answer(OK, is_evacuated=not wanted))
 
-        self.caught(inject, ZONE)
+        self.assert_found(inject, ZONE)
 
     def test_two_contents_under_one_number(self):
         def inject(maker):
@@ -209,53 +215,53 @@
             for content in ("one", "two"):
                 request = Request(Operation.REPLACE, CONFIGURATION_KEY, number, content)
                 maker.certain(lambda request=request: maker.call(request, Answer(OK, number)))
-            maker.hold(number, "one")
+            maker.put_in_force(number, "one")
 
-        self.caught(inject, CONFIGURATION_KEY)
+        self.assert_found(inject, CONFIGURATION_KEY)
 
-    def test_another_content_under_the_held_number_said_to_change_nothing(self):
+    def test_another_content_under_the_number_in_force_reported_as_no_change(self):
         def inject(maker):
             number = maker.version + 10
             for content, changed in (("one", True), ("two", False)):
                 request = Request(Operation.REPLACE, CONFIGURATION_KEY, number, content)
-                answer = Answer(OK, number, changed=changed)
+                answer = Answer(OK, number, is_changed=changed)
                 maker.certain(lambda request=request, answer=answer: maker.call(request, answer))
-            maker.hold(number, "one")
+            maker.put_in_force(number, "one")
 
-        self.caught(inject, CONFIGURATION_KEY)
+        self.assert_found(inject, CONFIGURATION_KEY)
 
     def test_confirmed_and_lost(self):
         def inject(maker):
             before = maker.version, maker.content
             while (maker.version, maker.content) == before:
                 maker.certain(maker.put)
-            maker.hold(*before)
+            maker.put_in_force(*before)
             maker.certain(maker.read)
 
-        self.caught(inject, CONFIGURATION_KEY)
+        self.assert_found(inject, CONFIGURATION_KEY)
 
     def test_two_conditional_orders_that_both_win(self):
         def inject(maker):
-            held = maker.version
+            version = maker.version
             maker.later()
             for content in ("one", "two"):
-                request = Request(Operation.PUT, CONFIGURATION_KEY, held, content)
-                maker.certain(lambda request=request: maker.call(request, Answer(OK, held + 1)))
-            maker.hold(held + 1, "one")
+                request = Request(Operation.PUT, CONFIGURATION_KEY, version, content)
+                maker.certain(lambda request=request: maker.call(request, Answer(OK, version + 1)))
+            maker.put_in_force(version + 1, "one")
 
-        self.caught(inject, CONFIGURATION_KEY)
+        self.assert_found(inject, CONFIGURATION_KEY)
 
-    def test_the_window_is_the_part_that_contradicts_itself(self):
-        maker = Maker(3, unknown=0.0).make(80)
+    def test_the_window_has_only_the_calls_that_contradict_each_other(self):
+        maker = HistoryMaker(3, unknown=0.0).make(80)
         put = maker.certain(maker.put)
         maker.certain(maker.read)
         maker.calls[-1] = replace(maker.calls[-1], answer=Answer(OK, put.answer.version - 1, "c0"))
-        window = judged(maker.calls)[CONFIGURATION_KEY].window
+        window = verdicts_by_key(maker.calls)[CONFIGURATION_KEY].window
         self.assertIn(maker.calls[-1].number, {call.number for call in window})
         self.assertLessEqual(len(window), 3)
 
 
-class Files(unittest.TestCase):
+class HistoryFiles(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -268,20 +274,20 @@
         return tester.execute(str(self.path)), tester.io.fetch_output()
 
     def test_a_history_is_read_back_as_written(self):
-        calls = tuple(Maker(1).make(40).calls)
+        calls = tuple(HistoryMaker(1).make(40).calls)
         write_history(self.path, calls)
         self.assertEqual(calls, read_history(self.path))
-        code, said = self.checked()
+        code, output = self.checked()
         self.assertEqual(0, code)
-        self.assertIn("configuration: explained", said)
+        self.assertIn("configuration: explained", output)
 
     def test_a_violation_is_printed_with_its_window(self):
         read = Request(Operation.READ, CONFIGURATION_KEY)
         write_history(self.path, [Call(1, "reader", read, 0, 5, Answer(OK, 4, "never written"))])
-        code, said = self.checked()
+        code, output = self.checked()
         self.assertEqual(1, code)
-        self.assertIn("unexplained", said)
-        self.assertIn("content=never written", said)
+        self.assertIn("unexplained", output)
+        self.assertIn("content=never written", output)
 
     def test_an_unknown_format_is_refused(self):
         for text in (
@@ -298,8 +304,8 @@
                 self.assertEqual(2, self.checked()[0])
 
 
-class Drills(unittest.TestCase):
-    """What a drill's operator asks and hears, with registries that are stood in for."""
+class DrillHistories(unittest.TestCase):
+    """The calls of a drill's operator and their answers, with registries that are mocked."""
 
     def setUp(self):
         self.history = ControlHistory(Clock())
@@ -311,29 +317,29 @@
             "settings": {"service": "s", "deadline_ms": 1000},
         }
 
-    def call(self, answers, *said, **more):
+    def call(self, answers, *arguments, **options):
         with patch("willowpost.drill.fleet.ask", side_effect=answers):
-            self.fleet.call(*said, **more)
+            self.fleet.call(*arguments, **options)
 
     def put(self, *answers, match=None):
         headers = {"If-Match": f'"{match}"'} if match is not None else None
         self.call(answers, "PUT", "/v1/configuration", self.tree, headers)
 
     def read(self, version, tree):
-        held = {"version": version, "configuration": tree}
-        self.call([(200, {}, held)], "GET", "/v1/configuration")
+        body = {"version": version, "configuration": tree}
+        self.call([(200, {}, body)], "GET", "/v1/configuration")
 
-    def kept(self):
+    def is_linearizable(self):
         findings = Findings()
         self.history.judge(findings)
         return not findings.broken
 
     def test_orders_and_reads_are_recorded_and_explained(self):
-        held = ConfigurationChecker().check_value(self.tree).unwrap()
+        checked_tree = ConfigurationChecker().check_value(self.tree).unwrap()
         self.put(None, (200, {}, {"version": 1}))
         self.put((412, {}, {"version": 1}), match=0)
         self.put((422, {}, {"findings": []}))
-        self.read(1, held)
+        self.read(1, checked_tree)
         self.call([(200, {}, {})], "POST", "/v1/zones/b/empty")
         self.call([(504, {}, {})], "POST", "/v1/zones/b/restore")
         outcomes = [call.outcome for call in self.history.calls()]
@@ -344,9 +350,9 @@
     def test_a_read_of_something_else_is_caught(self):
         self.put((200, {}, {"version": 1}))
         self.read(1, ConfigurationChecker().check_value(self.tree).unwrap())
-        self.assertTrue(self.kept())
+        self.assertTrue(self.is_linearizable())
         self.read(1, {"other": True})
-        self.assertFalse(self.kept())
+        self.assertFalse(self.is_linearizable())
 
 
 if __name__ == "__main__":
