--- a/src/willowpost/drill/model.py
+++ b/src/willowpost/drill/model.py
@@ -6,15 +6,15 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
-from willowpost.model.parts import Switches
 from willowpost.model.protections import PROTECTIONS
-from willowpost.model.replay import as_test, load, readable, replay, save
+from willowpost.model.replay import format_as_test, format_trace, load_trace, replay, save_trace
 from willowpost.model.scopes import SCOPES
 from willowpost.model.search import BreadthFirstSearch, Counterexample, Limits, Progress
+from willowpost.model.switches import Switches
 from willowpost.model.system import System
 from willowpost.model.walks import RandomWalks, WalkProgress
 
-HOLDS, BROKEN, UNKNOWN = 0, 1, 2  # exit codes
+NO_VIOLATION, BROKEN, UNKNOWN = 0, 1, 2  # exit codes
 
 
 class ModelCommand(Command):
@@ -57,7 +57,7 @@
         actions = None
         if self.option("replay"):
             try:
-                scope, actions = load(Path(self.option("replay")))
+                scope, actions = load_trace(Path(self.option("replay")))
             except (OSError, ValueError) as problem:
                 return self._unknown(str(problem))
         if scope not in SCOPES:
@@ -112,11 +112,11 @@
     def _judge(self, scope: str, found: Counterexample | None) -> int:
         if found is None:
             self.line(f"{scope}: no rule was broken")
-            return HOLDS
+            return NO_VIOLATION
         self.line(f"{scope}: {found.rule}, in {len(found.actions)} actions")
-        self.line(readable(found))
+        self.line(format_trace(found))
         if self.option("as-test"):
-            self.line(as_test(scope, found))
+            self.line(format_as_test(scope, found))
         if self.option("save"):
-            save(Path(self.option("save")), scope, found)
+            save_trace(Path(self.option("save")), scope, found)
         return BROKEN
--- a/src/willowpost/model/actions.py
+++ b/src/willowpost/model/actions.py
@@ -82,8 +82,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
-    """From now on nothing passes from `source` to `target`; the other direction is its own cut."""
+class BlockLink:
+    """From now on nothing passes from `source` to `target`; a direction each."""
 
     source: str
     target: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heal:
-    """All cuts end."""
+    """All blocked links deliver again."""
 
 
 Action = (
@@ -104,12 +104,14 @@
     | Restart
     | Wipe
     | Remove
-    | Cut
+    | BlockLink
     | Heal
 )
 Delivery = Deliver | Lose | CrashOnDelivery | CrashAfterSending
+# Saved traces name a kind by its class, but for those here.
+_STORED_KINDS: dict[type[Action], str] = {BlockLink: "Cut"}
 _KINDS: dict[str, type[Action]] = {
-    kind.__name__: kind
+    _STORED_KINDS.get(kind, kind.__name__): kind
     for kind in (
         Deliver,
         Lose,
@@ -120,7 +122,7 @@
         Restart,
         Wipe,
         Remove,
-        Cut,
+        BlockLink,
         Heal,
     )
 }
@@ -128,7 +130,7 @@
 
 def to_json(action: Action) -> dict[str, Any]:
     """The action as JSON values, with its kind under `do`."""
-    return {"do": type(action).__name__, **asdict(action)}
+    return {"do": _STORED_KINDS.get(type(action), type(action).__name__), **asdict(action)}
 
 
 def from_json(stored: dict[str, Any]) -> Action:
@@ -138,5 +140,5 @@
         KeyError: no action of that kind.
         TypeError: fields that the kind does not have.
     """
-    rest = {name: value for name, value in stored.items() if name != "do"}
-    return _KINDS[stored["do"]](**rest)
+    arguments = {name: value for name, value in stored.items() if name != "do"}
+    return _KINDS[stored["do"]](**arguments)
--- a/src/willowpost/model/parts.py
+++ b/src/willowpost/model/components.py
@@ -1,39 +1,29 @@
-"""The parts that states are made of: processes, disks, messages and histories, by number."""
+"""The components of states, interned: processes, disks, messages and histories by number."""
 
 import json
-from dataclasses import dataclass
 from typing import Any
 
 from willowpost.common.plan import Plan
-from willowpost.consensus.thresholds import Thresholds
 from willowpost.model.disk_facts import DiskFacts, read_disk
 from willowpost.model.history import History
-from willowpost.model.invariants import FAILED, Violation
-from willowpost.model.numbering import Numbering
+from willowpost.model.interner import Interner
+from willowpost.model.invariants import PROCESS_FAILURE, InvariantViolationError
 from willowpost.model.process_image import Fingerprints
 from willowpost.model.processes import READER, Record
 from willowpost.model.scope import READS_OFF, Scope
+from willowpost.model.switches import Switches
 from willowpost.model.system_state import GONE, SystemState
 
 Message = tuple[str, str, Any]  # source, target, body
 
 
-@dataclass(frozen=True, slots=True)
-class Switches:
-    """Protections outside the controllers that can be switched off, to see that each is needed."""
-
-    thresholds: type[Thresholds] = Thresholds
-    send_before_sync: bool = False
-    reuse_identity: bool = False
-
-
 def text_of(record: Record) -> str:
-    """A record as the one JSON text that stands for it in a disk."""
+    """A record as the one JSON text that represents it on a disk."""
     return json.dumps(record, sort_keys=True, separators=(",", ":"))
 
 
-class Parts:
-    """The parts of states by number; equal parts have one number, which never changes."""
+class StateComponents:
+    """Components of states by number; equal ones have one number, which never changes."""
 
     def __init__(self, scope: Scope, switches: Switches) -> None:
         self.scope = scope
@@ -46,27 +36,27 @@
             f"{name}/1/1": operation
             for name, operation in zip(self.clients, scope.commands, strict=True)
         }
-        self.images: Numbering[Any] = Numbering()
-        self.messages: Numbering[Message] = Numbering()
-        self.disks: Numbering[tuple[str, ...]] = Numbering()
-        self.histories: Numbering[History] = Numbering()
+        self.images: Interner[Any] = Interner()
+        self.messages: Interner[Message] = Interner()
+        self.disks: Interner[tuple[str, ...]] = Interner()
+        self.histories: Interner[History] = Interner()
         self._fingerprints = Fingerprints()
         self._facts: dict[int, DiskFacts] = {}
         self._numbers: dict[tuple[str, str, str], int] = {}
         self._texts: dict[int, str] = {}
 
-    def number_image(self, process: Any) -> int:
-        """The number of a process, by all that it holds."""
-        return self.images.number(self._fingerprints.of(process), process)
+    def intern_image(self, process: Any) -> int:
+        """The number of a process, by all of its fields."""
+        return self.images.intern(self._fingerprints.of(process), process)
 
-    def number_disk(self, lines: tuple[str, ...]) -> int:
+    def intern_disk(self, lines: tuple[str, ...]) -> int:
         """The number of a disk with these records."""
-        return self.disks.number(lines, lines)
+        return self.disks.intern(lines, lines)
 
-    def number_sends(self, source: str, plan: Plan) -> list[int]:
+    def intern_sends(self, source: str, plan: Plan) -> list[int]:
         """The numbers of the messages that a plan sends to processes of the model."""
         numbers = [
-            self.messages.number((source, target, message), (source, target, message))
+            self.messages.intern((source, target, message), (source, target, message))
             for target, message in plan.sends
             if target in self.index
         ]
@@ -75,20 +65,22 @@
         return numbers
 
     def facts(self, disk: int) -> DiskFacts:
-        """What the disk of this number holds."""
+        """What the disk of this number contains."""
         if disk not in self._facts:
             try:
                 self._facts[disk] = read_disk(self.disks[disk])
             except Exception as problem:  # whatever it is, a store could not start from this disk
-                raise Violation(FAILED, f"a disk cannot be read: {problem!r}") from problem
+                raise InvariantViolationError(
+                    PROCESS_FAILURE, f"a disk cannot be read: {problem!r}"
+                ) from problem
         return self._facts[disk]
 
     def disk_facts(self, state: SystemState) -> list[DiskFacts]:
-        """What each disk that still exists holds."""
+        """What each disk that still exists contains."""
         return [self.facts(disk) for disk in state.disks if disk != GONE]
 
     def message_text(self, number: int) -> str:
-        """The message's body as it stands in actions."""
+        """The message's body as actions name it."""
         if number not in self._texts:
             source, target, body = self.messages[number]
             text = self._texts[number] = repr(body)
@@ -101,5 +93,5 @@
 
     def reads(self, name: str) -> bool:
         """Whether the process begins a quorum read when its timers are due."""
-        reading_stores = self.scope.pace.quorum_read_interval_us != READS_OFF
+        reading_stores = self.scope.tuning.quorum_read_interval_us != READS_OFF
         return name == READER or (name in self.stores and reading_stores)
--- a/src/willowpost/model/disk_facts.py
+++ b/src/willowpost/model/disk_facts.py
@@ -1,4 +1,4 @@
-"""What a disk would tell if its store started from it now; read by the store's own code."""
+"""What a store would know if it started from a disk now; read by the store's own code."""
 
 import json
 from collections.abc import Sequence
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskFacts:
-    """A disk's identity, how far its log goes, and whom it holds for the voters.
+    """A disk's identity, the end of its log, and the voters it knows of.
 
     Attributes:
         identity: of the store.
-        slot: below which it holds all decisions.
+        slot: below which it has all decisions.
         epoch: in force by its log.
         voters: identities of that epoch's voters.
         previous_voters: identities of the voters before the last change; empty: there was none.
-        opened: something of the epoch in force was decided, or its barrier was passed.
+        is_open: something of the epoch in force was decided, or its barrier was passed.
     """
 
     identity: str
@@ -29,21 +29,21 @@
     epoch: int
     voters: frozenset[str]
     previous_voters: frozenset[str]
-    opened: bool
+    is_open: bool
 
 
 def read_disk(lines: Sequence[str]) -> DiskFacts:
     """The facts of a disk whose records are these JSON texts, oldest first."""
     records = [json.loads(line) for line in lines]
-    me = MEMBER.decode(records[0])
-    state = ReplicaState(me)
+    member = MEMBER.decode(records[0])
+    state = ReplicaState(member)
     restoration.restore_state(state, records, NOW)
     tables = state.tables
     return DiskFacts(
-        identity=me.identity,
+        identity=member.identity,
         slot=tables.slot,
         epoch=tables.epoch,
         voters=tables.voter_identities(),
         previous_voters=frozenset(tables.previous_voter_identities()),
-        opened=state.passed_epoch >= tables.epoch or is_change_complete(tables),
+        is_open=state.passed_epoch >= tables.epoch or is_change_complete(tables),
     )
--- a/src/willowpost/model/enabled.py
+++ b/src/willowpost/model/enabled_actions.py
@@ -5,10 +5,10 @@
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.model.actions import (
     Action,
+    BlockLink,
     Crash,
     CrashAfterSending,
     CrashOnDelivery,
-    Cut,
     Deliver,
     Heal,
     Lose,
@@ -17,8 +17,8 @@
     Tick,
     Wipe,
 )
+from willowpost.model.components import StateComponents
 from willowpost.model.invariants import lost_voters, voters_in_force
-from willowpost.model.parts import Parts
 from willowpost.model.steps import SHORT_TICK, Outcome, ProcessSteps
 from willowpost.model.system_state import DOWN, GONE, SystemState
 
@@ -28,8 +28,8 @@
 class EnabledActions:
     """Offers the actions possible in a state, each only while the scope's budget has one left."""
 
-    def __init__(self, parts: Parts, steps: ProcessSteps) -> None:
-        self.parts = parts
+    def __init__(self, components: StateComponents, steps: ProcessSteps) -> None:
+        self.components = components
         self.steps = steps
 
     def actions(self, state: SystemState, exact: bool = True) -> Iterator[Action]:
@@ -43,25 +43,25 @@
         """
         for number in state.network:
             yield from self._on_message(state, number, exact)
-        for name in self.parts.names:
+        for name in self.components.names:
             yield from self._on_process(state, name)
         yield from self._on_links(state)
 
     def _on_message(self, state: SystemState, number: int, exact: bool) -> Iterator[Action]:
-        source, target, _ = self.parts.messages[number]
-        text = self.parts.message_text(number)
-        process = state.processes[self.parts.index[target]]
+        source, target, _ = self.components.messages[number]
+        text = self.components.message_text(number)
+        process = state.processes[self.components.index[target]]
         if state.budget.losses:
             yield Lose(source, target, text)
-        if process < 0 or (source, target) in state.cuts:
+        if process < 0 or (source, target) in state.blocked_links:
             return
         yield Deliver(source, target, text)
         if state.budget.duplicates:
             yield Deliver(source, target, text, keep=True)
-        if target in self.parts.stores and state.budget.torn and self._may_crash(target):
+        if target in self.components.stores and state.budget.torn and self._may_crash(target):
             for written in self._crash_points(process, number) if exact else _FEW_CRASH_POINTS:
                 yield CrashOnDelivery(source, target, text, written)
-            if self.parts.switches.send_before_sync:
+            if self.components.switches.send_before_sync:
                 yield CrashAfterSending(source, target, text)
 
     def _crash_points(self, process: int, number: int) -> range:
@@ -71,17 +71,17 @@
         return range(writes + 1) if writes else range(0)
 
     def _may_crash(self, name: str) -> bool:
-        return name in (self.parts.scope.may_crash or self.parts.stores)
+        return name in (self.components.scope.may_crash or self.components.stores)
 
     def _may_lose_disk(self, name: str) -> bool:
-        return name in (self.parts.scope.may_lose_disk or self.parts.stores)
+        return name in (self.components.scope.may_lose_disk or self.components.stores)
 
     def _on_process(self, state: SystemState, name: str) -> Iterator[Action]:
-        number = self.parts.index[name]
+        number = self.components.index[name]
         process = state.processes[number]
         if process >= 0 and state.ticks[number]:
             yield Tick(name)
-        if name not in self.parts.stores:
+        if name not in self.components.stores:
             return
         if process >= 0 and state.budget.short_ticks and self._acts_on_short_tick(process):
             yield Tick(name, timed=False)
@@ -91,7 +91,7 @@
             yield Restart(name)
         if process == GONE or not self._may_lose_disk(name):
             return
-        if state.budget.wipes and self.bears_loss(state, number):
+        if state.budget.wipes and self.tolerates_loss(state, number):
             yield Wipe(name)
         if state.budget.removals and self.is_replaced(state, number):
             yield Remove(name)
@@ -102,27 +102,27 @@
             outcome.image != process or outcome.messages or outcome.writes
         )
 
-    def bears_loss(self, state: SystemState, number: int) -> bool:
+    def tolerates_loss(self, state: SystemState, number: int) -> bool:
         """Whether this disk may be lost with at most f disks of each core in force lost."""
-        identity = self.parts.facts(state.disks[number]).identity
-        left = [facts for facts in self.parts.disk_facts(state) if facts.identity != identity]
+        identity = self.components.facts(state.disks[number]).identity
+        left = [facts for facts in self.components.disk_facts(state) if facts.identity != identity]
         return all(
             lost_voters(voters, left) <= Thresholds(len(voters)).f
-            for voters in voters_in_force(self.parts.disk_facts(state))
+            for voters in voters_in_force(self.components.disk_facts(state))
         )
 
     def is_replaced(self, state: SystemState, number: int) -> bool:
         """Whether the store was a voter and is none by the latest change."""
-        facts = self.parts.disk_facts(state)
-        identity = self.parts.facts(state.disks[number]).identity
+        facts = self.components.disk_facts(state)
+        identity = self.components.facts(state.disks[number]).identity
         newest = voters_in_force(facts)[0]
         return identity not in newest and any(identity in disk.previous_voters for disk in facts)
 
     def _on_links(self, state: SystemState) -> Iterator[Action]:
-        if state.budget.cuts:
-            for source in self.parts.names:
-                for target in self.parts.stores:
-                    if source != target and (source, target) not in state.cuts:
-                        yield Cut(source, target)
-        if state.cuts and state.budget.heals:
+        if state.budget.blocked_links:
+            for source in self.components.names:
+                for target in self.components.stores:
+                    if source != target and (source, target) not in state.blocked_links:
+                        yield BlockLink(source, target)
+        if state.blocked_links and state.budget.heals:
             yield Heal()
--- a/src/willowpost/model/numbering.py
+++ b/src/willowpost/model/interner.py
@@ -6,14 +6,14 @@
 Value = TypeVar("Value")
 
 
-class Numbering(Generic[Value]):
-    """Gives values with equal keys one number and keeps the first of these values."""
+class Interner(Generic[Value]):
+    """Gives values with equal keys one number, and stores the first of these values."""
 
     def __init__(self) -> None:
         self._numbers: dict[Hashable, int] = {}
         self._values: list[Value] = []
 
-    def number(self, key: Hashable, value: Value) -> int:
+    def intern(self, key: Hashable, value: Value) -> int:
         """The value's number, given to its key now if it has none yet."""
         known = self._numbers.get(key)
         if known is not None:
--- a/src/willowpost/model/invariants.py
+++ b/src/willowpost/model/invariants.py
@@ -1,14 +1,18 @@
-"""What must hold in every state, and after every step of a process."""
+"""The invariants of every state, and of every step of a process.
+
+The texts of the rules are stored in saved traces.
+"""
 
 import json
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
 from willowpost.common.digest import blake2b
+from willowpost.common.errors import WillowpostError
 from willowpost.consensus.replica.records import RecordKind
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.model.disk_facts import DiskFacts
-from willowpost.model.history import BallotPlace, History
+from willowpost.model.history import BallotKey, History
 from willowpost.state.codec import decode_results
 from willowpost.state.configuration_changes import ConfigurationProposal
 from willowpost.state.operations import Operation
@@ -22,7 +26,7 @@
 )
 
 
-class Violation(AssertionError):
+class InvariantViolationError(WillowpostError, AssertionError):
     """An invariant does not hold; `rule` names it, the text says where."""
 
     def __init__(self, rule: str, text: str) -> None:
@@ -31,12 +35,12 @@
 
 
 AGREEMENT = "agreement"
-BALLOT_UNSAID = "ballot state unsaid"
+BALLOT_CONTRADICTED = "ballot state unsaid"
 DURABILITY = "accepted entry lost within f"
 STALE_READ = "read misses an accepted entry"
-WENT_BACK = "node went back a slot"
-ONE_CONTENT = "two contents under one version"
-FAILED = "a process fails"
+SLOT_REGRESSION = "node went back a slot"
+VERSION_CONFLICT = "two contents under one version"
+PROCESS_FAILURE = "a process fails"
 
 
 def record_decisions(history: History, records: Iterable[dict[str, Any]], where: str) -> History:
@@ -47,7 +51,9 @@
         slot, key = record["slot"], record["key"]
         known = dict(history.decided).get(slot, key)
         if known != key:
-            raise Violation(AGREEMENT, f"{where} decides {key!r} in slot {slot}, decided {known!r}")
+            raise InvariantViolationError(
+                AGREEMENT, f"{where} decides {key!r} in slot {slot}, decided {known!r}"
+            )
         history = history.with_decided(slot, key)
     return history
 
@@ -55,7 +61,7 @@
 def record_message(
     history: History, message: object, where: str, operations: Mapping[str, Operation]
 ) -> History:
-    """What a message that leaves a store promises, and that it unsays nothing.
+    """Record what a message of a store promises, and check that it contradicts no earlier one.
 
     Args:
         history: What was promised so far.
@@ -75,21 +81,26 @@
             return _record_confirmation(history, operations.get(key), result, where)
         case SyncedIndex(identity, slot) | QuorumReadResponse(_, identity, slot):
             if slot < dict(history.claimed_slots).get(identity, 0):
-                raise Violation(WENT_BACK, f"{where} says slot {slot}, as {identity}, said more")
+                raise InvariantViolationError(
+                    SLOT_REGRESSION,
+                    f"{where} claims slot {slot}, as {identity}, and claimed more before",
+                )
             return history.with_claimed_slot(identity, slot)
     return history
 
 
 def _record_ballot(history: History, ballot: BallotState, where: str) -> History:
-    place: BallotPlace = (ballot.identity, ballot.epoch, ballot.slot)
-    known = dict(history.ballots).get(place)
+    ballot_key: BallotKey = (ballot.identity, ballot.epoch, ballot.slot)
+    known = dict(history.ballots).get(ballot_key)
     if known is not None and not _extends(known, ballot):
-        raise Violation(BALLOT_UNSAID, f"{where} in slot {ballot.slot}")
+        raise InvariantViolationError(BALLOT_CONTRADICTED, f"{where} in slot {ballot.slot}")
     if 1 in (*ballot.states, *ballot.votes) and not ballot.agreed:
-        raise Violation(BALLOT_UNSAID, f"{where} says 1 without the proposal it stands for")
+        raise InvariantViolationError(
+            BALLOT_CONTRADICTED, f"{where} has a 1 without the proposal that it refers to"
+        )
     if known is not None and _steps(known) >= _steps(ballot):
         return history
-    return history.with_ballot(place, _without_body(ballot))
+    return history.with_ballot(ballot_key, _without_body(ballot))
 
 
 def _extends(one: BallotState, other: BallotState) -> bool:
@@ -119,7 +130,7 @@
 
 
 def record_configuration(history: History, tables: Tables, where: str) -> History:
-    """One content under one version number, over all processes that ever held one."""
+    """One content under one version number, over all processes that ever had one."""
     configuration = tables.configuration
     if configuration.tree is None:
         return history
@@ -143,7 +154,9 @@
     digest = blake2b(json.dumps(tree, sort_keys=True).encode(), digest_size=8).hexdigest()
     known = dict(history.versions).get(version, digest)
     if known != digest:
-        raise Violation(ONE_CONTENT, f"{statement} another content under version {version}")
+        raise InvariantViolationError(
+            VERSION_CONFLICT, f"{statement} another content under version {version}"
+        )
     return history.with_version(version, digest)
 
 
@@ -156,10 +169,12 @@
         process: The process that took the step.
 
     Raises:
-        Violation: It did.
+        InvariantViolationError: It did.
     """
     if after.tables.slot < before.tables.slot:
-        raise Violation(WENT_BACK, f"{process} from {before.tables.slot} to {after.tables.slot}")
+        raise InvariantViolationError(
+            SLOT_REGRESSION, f"{process} from {before.tables.slot} to {after.tables.slot}"
+        )
 
 
 def check_read(slot: int, history: History, process: str) -> None:
@@ -172,23 +187,25 @@
     """
     bound = history.read_bound(process)
     if slot < bound:
-        raise Violation(
+        raise InvariantViolationError(
             STALE_READ,
-            f"{process} calls itself whole at slot {slot}; what was accepted before it asked "
+            f"{process} completes a read at slot {slot}; what was accepted before the read started "
             f"reaches to {bound}",
         )
 
 
 def check_restart(facts: DiskFacts, history: History, process: str) -> None:
-    """A store that starts again holds all that it said it had synced."""
+    """A store that starts again has all that it claimed to have synced."""
     claimed = dict(history.claimed_slots).get(facts.identity, 0)
     if facts.slot < claimed:
-        raise Violation(WENT_BACK, f"{process} restarts at {facts.slot}, it said {claimed}")
+        raise InvariantViolationError(
+            SLOT_REGRESSION, f"{process} restarts at {facts.slot}, it claimed {claimed}"
+        )
 
 
 def newest_epoch(disks: Sequence[DiskFacts]) -> DiskFacts:
     """The disk that knows of the latest change of the voters."""
-    return max(disks, key=lambda facts: (facts.epoch, facts.opened, facts.slot))
+    return max(disks, key=lambda facts: (facts.epoch, facts.is_open, facts.slot))
 
 
 def lost_voters(voters: frozenset[str], disks: Sequence[DiskFacts]) -> int:
@@ -199,7 +216,7 @@
 def voters_in_force(disks: Sequence[DiskFacts]) -> list[frozenset[str]]:
     """The voters in force; the previous ones too until the new epoch has been opened."""
     newest = newest_epoch(disks)
-    opened = any(facts.epoch == newest.epoch and facts.opened for facts in disks)
+    opened = any(facts.epoch == newest.epoch and facts.is_open for facts in disks)
     if opened or not newest.previous_voters:
         return [newest.voters]
     return [newest.voters, newest.previous_voters]
@@ -209,21 +226,21 @@
     """What was accepted survives every further loss that f still allows.
 
     That is so if n - f voters in force, less those already lost, hold it on disk. Until somebody
-    has opened a new epoch, the voters of the former one may be the ones that hold it.
+    has opened a new epoch, the voters of the previous one may be the ones that hold it.
     """
-    bound = history.bound()
+    bound = history.accepted_bound()
     electorates = voters_in_force(disks)
-    if not bound or any(_holds(voters, disks, bound) for voters in electorates):
+    if not bound or any(_is_durable(voters, disks, bound) for voters in electorates):
         return
-    holding = sorted(facts.identity for facts in disks if facts.slot >= bound)
-    raise Violation(
+    durable_on = sorted(facts.identity for facts in disks if facts.slot >= bound)
+    raise InvariantViolationError(
         DURABILITY,
-        f"all below slot {bound} was accepted; of the voters {sorted(electorates[0])} it stands "
-        f"only on the disks of {holding}",
+        f"all below slot {bound} was accepted; of the voters {sorted(electorates[0])} it is "
+        f"only on the disks of {durable_on}",
     )
 
 
-def _holds(voters: frozenset[str], disks: Sequence[DiskFacts], bound: int) -> bool:
+def _is_durable(voters: frozenset[str], disks: Sequence[DiskFacts], bound: int) -> bool:
     limits = Thresholds(len(voters))
-    holding = sum(facts.identity in voters and facts.slot >= bound for facts in disks)
-    return holding >= limits.quorum - lost_voters(voters, disks)
+    durable_on = sum(facts.identity in voters and facts.slot >= bound for facts in disks)
+    return durable_on >= limits.quorum - lost_voters(voters, disks)
--- a/src/willowpost/model/logical_time.py
+++ b/src/willowpost/model/logical_time.py
@@ -1,4 +1,4 @@
-"""The model's clock: two moments, now and before, in place of microseconds.
+"""The model's clock: two moments, now and before, instead of microseconds.
 
 Every process sees the same constant `NOW`. What passes is not the clock but the process's memory:
 a timed tick first turns each time that the process holds into `BEFORE`, which is longer ago than
--- a/src/willowpost/model/operations.py
+++ b/src/willowpost/model/operations.py
@@ -37,12 +37,12 @@
     )
 
 
-def joined(machine: Machine) -> JoinDaemon:
+def join(machine: Machine) -> JoinDaemon:
     """A store joins."""
     return JoinDaemon(descriptor(machine))
 
 
-def suspected(target: Machine, watcher: Machine) -> ReportSuspicion:
+def suspect(target: Machine, watcher: Machine) -> ReportSuspicion:
     """One store suspects another."""
     return ReportSuspicion(
         member_of(target).identity,
@@ -52,11 +52,11 @@
     )
 
 
-def replacement(replaced: Machine, learner: Machine) -> ReplaceVoter:
+def replace_voter(replaced: Machine, learner: Machine) -> ReplaceVoter:
     """A learner replaces a voter."""
     return ReplaceVoter(member_of(replaced).identity, member_of(learner))
 
 
-def offer(learner: Machine) -> OfferVoter:
+def offer_voter(learner: Machine) -> OfferVoter:
     """A learner offers itself as one more voter."""
     return OfferVoter(member_of(learner).identity, incarnation_of(1), MAX_VOTERS)
--- a/src/willowpost/model/process_image.py
+++ b/src/willowpost/model/process_image.py
@@ -2,7 +2,7 @@
 
 Both walk the object graph generically, so that a controller that gains a field needs no change
 here. Frozen dataclasses, functions and scalars are shared between copies; dictionaries, lists, sets
-and ordinary objects are copied, with their references to each other kept.
+and ordinary objects are copied, and refer to each other as before.
 """
 
 from collections.abc import Callable, Hashable
@@ -12,17 +12,18 @@
 from types import BuiltinFunctionType, FunctionType, MethodType
 from typing import Any
 
+from willowpost.common.errors import WillowpostError
 from willowpost.model.logical_time import is_time
 
 _SCALARS = frozenset((str, bytes, float, bool, type(None)))
 _CODE = (type, FunctionType, BuiltinFunctionType)
 
 
-def _keep(number: int) -> int:
+def _unchanged(number: int) -> int:
     return number
 
 
-def copy_of(value: Any, number: Callable[[int], int] = _keep) -> Any:
+def copy_of(value: Any, number: Callable[[int], int] = _unchanged) -> Any:
     """A copy that shares nothing mutable with `value`.
 
     Args:
@@ -52,7 +53,7 @@
     return tuple(name for name in names if name not in ("__dict__", "__weakref__"))
 
 
-def _held(value: Any) -> dict[str, Any]:
+def _fields_of(value: Any) -> dict[str, Any]:
     """The fields of an object, whether they stand in slots or in its dictionary."""
     kind: Any = type(value)
     slots = {name: getattr(value, name) for name in _slots(kind) if hasattr(value, name)}
@@ -87,15 +88,20 @@
 
 def _copy_object(value: Any, number: Callable[[int], int], copies: dict[int, Any]) -> Any:
     made = copies[id(value)] = object.__new__(type(value))
-    for name, item in _held(value).items():
+    for name, item in _fields_of(value).items():
         object.__setattr__(made, name, _copy(item, number, copies))
     return made
 
 
+class FrozenTimeError(WillowpostError, ValueError):
+    """A time is inside a frozen object, where a timed tick could not age it."""
+
+
 class Fingerprints:
     """Makes hashable values that are equal for two objects exactly if their contents are.
 
-    Invariant: a frozen object is looked through once; it is kept, so that its id stays its own.
+    Invariant: a frozen object is fingerprinted once; it stays referenced, so that its id is not
+    reused.
     """
 
     def __init__(self) -> None:
@@ -105,7 +111,7 @@
         """The fingerprint of an object with all that it refers to.
 
         Raises:
-            ValueError: a moment stands inside a frozen object, where a tick could not age it.
+            FrozenTimeError: a time is inside a frozen object.
         """
         return self._key(value, {})
 
@@ -137,7 +143,7 @@
         if known is None:
             items = [self._key(getattr(value, field.name), {}) for field in fields(value)]
             if any(type(item) is int and is_time(item) for item in items):
-                raise ValueError(f"a moment stands inside the frozen {value!r}")
+                raise FrozenTimeError(f"a time is inside the frozen {value!r}")
             known = self._frozen[id(value)] = (value, (type(value), *items))
         return known[1]
 
@@ -145,4 +151,4 @@
         if id(value) in seen:
             return ("again", seen[id(value)])
         seen[id(value)] = len(seen)
-        return (type(value), *self._items(_held(value), seen))
+        return (type(value), *self._items(_fields_of(value), seen))
--- a/src/willowpost/model/processes.py
+++ b/src/willowpost/model/processes.py
@@ -1,4 +1,4 @@
-"""Builds the processes of a model from the daemons' own parts."""
+"""Builds the processes of a model from the daemons' own controllers."""
 
 import json
 from collections.abc import Sequence
@@ -28,12 +28,12 @@
 from willowpost.wire.messages import Command, Decision, Member
 
 READER = "reader"
-# A life's incarnation lies so far above the one before that no counter of a life reaches the next,
-# as microseconds of a wall clock do that is not stepped back.
+# An incarnation's number is so far above the previous one that no counter within it reaches the
+# next, as with microseconds of a wall clock that is not stepped back.
 _INCARNATION_STEP = 1_000
 Record = dict[str, Any]
-# Joining and watching put commands of their own into the log; the scopes give their outcome in
-# the log's prefix instead.
+# Joining and failure detection put commands of their own into the log; the scopes give their
+# outcome in the log's prefix instead.
 NOT_MODELLED = (FleetJoin, FailureDetector)
 
 
@@ -68,9 +68,9 @@
         return plan.join(self.quorum_read.step(event, now))
 
 
-def incarnation_of(life: int) -> int:
+def incarnation_of(incarnation_count: int) -> int:
     """The incarnation of a machine's first, second, ... process, counted from 1."""
-    return life * _INCARNATION_STEP
+    return incarnation_count * _INCARNATION_STEP
 
 
 def identity_of(machine: str, disks_lost: int) -> str:
@@ -136,19 +136,19 @@
     scope: Scope,
     machine: Machine,
     records: Sequence[Record],
-    life: int,
+    incarnation_count: int,
     thresholds: type[Thresholds],
 ) -> StoreNode:
     """A store process that starts from these records."""
-    me = MEMBER.decode(records[0])
+    member = MEMBER.decode(records[0])
     seeds = tuple(each.name for each in voters_of(scope))
     node = StoreNode(
         StoreOptions(
-            member=me,
+            member=member,
             seeds=seeds,
             bootstrap_voters=len(seeds),
-            incarnation=incarnation_of(life),
-            tuning=scope.pace,
+            incarnation=incarnation_of(incarnation_count),
+            tuning=scope.tuning,
             thresholds=thresholds,
             voter_policy=VoterPolicy(may_bootstrap=False, max_voters=scope.max_voters),
         ),
@@ -161,10 +161,10 @@
 
 
 def build_client(name: str, stores: Sequence[str]) -> CommandClient:
-    """A command client that tries the stores in this order."""
+    """A command client that contacts the stores in this order."""
     return CommandClient(name, 1, Addresses(tuple(stores)), wall_clock)
 
 
 def build_reader(tables: Tables) -> ReaderNode:
-    """A reader that holds the tables which the model begins with."""
+    """A reader that starts with these tables."""
     return ReaderNode(tables)
--- a/src/willowpost/model/protections.py
+++ b/src/willowpost/model/protections.py
@@ -11,14 +11,14 @@
 from willowpost.consensus.replica.quorum_reads import QuorumReads
 from willowpost.consensus.replica.voting import Voting
 from willowpost.consensus.thresholds import Thresholds
-from willowpost.model.parts import Switches
+from willowpost.model.switches import ALL_PROTECTIONS_ON, Switches
 from willowpost.node.quorum_read import QuorumRead
 
 _ALL_SLOTS = 10**9
 
 
 @dataclass(frozen=True, slots=True)
-class EachAlone(Thresholds):
+class SingleReplicaQuorum(Thresholds):
     """One replica is a quorum of its own."""
 
     @property
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OneVoteDecides(Thresholds):
-    """One vote for a value decides, in place of f + 1."""
+    """One vote for a value decides, instead of f + 1."""
 
     @property
     def deciding_votes(self) -> int:
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replacement:
-    """A method of a controller, or a function of its module, and what stands in its place."""
+    """A method of a controller, or a function of its module, and what replaces it."""
 
     owner: type | ModuleType
     method: str
@@ -62,7 +62,7 @@
 
     name: str
     scope: str
-    switches: Switches = Switches()
+    switches: Switches = ALL_PROTECTIONS_ON
     replacements: tuple[Replacement, ...] = ()
 
     @contextmanager
@@ -84,15 +84,15 @@
         setattr(replacement.owner, replacement.method, original)
 
 
-def _whatever_the_epoch(owner: type, method: str) -> Replacement:
+def _ignoring_the_epoch(owner: type, method: str) -> Replacement:
     original: Callable[[Any], None] = getattr(owner, method)
 
-    def settle(self: Any) -> None:
+    def advance_freshness(self: Any) -> None:
         for read in self.reads.by_nonce.values():
             read.epoch = self.node_state.tables.epoch
         original(self)
 
-    return Replacement(owner, method, settle)
+    return Replacement(owner, method, advance_freshness)
 
 
 def _numbers_from_zero(self: Any, daemon: str, incarnation: int, purpose: str) -> None:
@@ -112,7 +112,7 @@
     return bool(index >= node_state.tables.epoch_first_slot())
 
 
-def _forgetting_the_ballot_state() -> Replacement:
+def _dropping_the_ballot_state() -> Replacement:
     original: Callable[..., None] = restoration.restore_state
 
     def restore(node_state: Any, *arguments: Any) -> None:
@@ -127,7 +127,7 @@
 PROTECTIONS = {
     protection.name: protection
     for protection in (
-        Protection("quorum", "two-commands", Switches(thresholds=EachAlone)),
+        Protection("quorum", "two-commands", Switches(thresholds=SingleReplicaQuorum)),
         Protection("votes-to-decide", "split-proposals", Switches(thresholds=OneVoteDecides)),
         Protection("sync-before-send", "one-command", Switches(send_before_sync=True)),
         Protection(
@@ -138,7 +138,7 @@
         Protection(
             "ballot-state-kept",
             "restarted",
-            replacements=(_forgetting_the_ballot_state(),),
+            replacements=(_dropping_the_ballot_state(),),
         ),
         Protection(
             "epoch-barrier",
@@ -164,12 +164,12 @@
         Protection(
             "store-read-in-one-epoch",
             "store-read-over-change",
-            replacements=(_whatever_the_epoch(QuorumReads, "_advance_freshness"),),
+            replacements=(_ignoring_the_epoch(QuorumReads, "_advance_freshness"),),
         ),
         Protection(
             "reader-read-in-one-epoch",
             "read-over-change",
-            replacements=(_whatever_the_epoch(QuorumRead, "_advance_freshness"),),
+            replacements=(_ignoring_the_epoch(QuorumRead, "_advance_freshness"),),
         ),
     )
 }
--- a/src/willowpost/model/replay.py
+++ b/src/willowpost/model/replay.py
@@ -5,12 +5,13 @@
 from pathlib import Path
 from textwrap import indent
 
+from willowpost.common.errors import WillowpostError
 from willowpost.model.actions import (
     Action,
+    BlockLink,
     Crash,
     CrashAfterSending,
     CrashOnDelivery,
-    Cut,
     Deliver,
     Heal,
     Lose,
@@ -21,66 +22,72 @@
     from_json,
     to_json,
 )
-from willowpost.model.invariants import Violation
+from willowpost.model.invariants import InvariantViolationError
 from willowpost.model.search import Counterexample
-from willowpost.model.state_changes import NotPossible
+from willowpost.model.state_changes import ActionNotPossibleError
 from willowpost.model.system import System
 
-_TEXT_MOST = 150
+_MAX_MESSAGE_TEXT = 150  # characters
+
+
+class TraceFormatError(WillowpostError, ValueError):
+    """The file is not a saved trace."""
 
 
 def replay(system: System, actions: Sequence[Action]) -> Counterexample | None:
-    """Runs the actions from the scope's first state; the violation they end in, if they do.
+    """Runs the actions from the scope's first state; the violation that ends them, if any.
 
-    An action that is not possible where it stands is passed over.
+    An action that is not possible in its state is skipped.
     """
     state = system.initial()
     taken: list[Action] = []
     for action in actions:
         try:
             state = system.successor(state, action)
-        except NotPossible:
+        except ActionNotPossibleError:
             continue
-        except Violation as violation:
+        except InvariantViolationError as violation:
             return Counterexample(violation.rule, str(violation), (*taken, action))
         taken.append(action)
     return None
 
 
-def shortened(system: System, found: Counterexample) -> Counterexample:
+def shorten(system: System, counterexample: Counterexample) -> Counterexample:
     """The same rule broken by a trace from which no single action can be left out."""
-    left = len(found.actions) - 1
-    while left >= 0:
-        tried = replay(system, (*found.actions[:left], *found.actions[left + 1 :]))
-        if tried is not None and tried.rule == found.rule:
-            found = tried
-            left = min(left, len(found.actions))
-        left -= 1
-    return found
-
-
-def save(path: Path, scope: str, found: Counterexample) -> None:
+    index = len(counterexample.actions) - 1
+    while index >= 0:
+        candidate = replay(
+            system, (*counterexample.actions[:index], *counterexample.actions[index + 1 :])
+        )
+        if candidate is not None and candidate.rule == counterexample.rule:
+            counterexample = candidate
+            index = min(index, len(counterexample.actions))
+        index -= 1
+    return counterexample
+
+
+def save_trace(path: Path, scope: str, counterexample: Counterexample) -> None:
     """Writes the trace as JSON: the scope's name, the rule, and the actions."""
     trace = {
         "scope": scope,
-        "rule": found.rule,
-        "actions": [to_json(each) for each in found.actions],
+        "rule": counterexample.rule,
+        "actions": [to_json(each) for each in counterexample.actions],
     }
     path.write_text(json.dumps(trace, indent=1) + "\n")
 
 
-def load(path: Path) -> tuple[str, tuple[Action, ...]]:
+def load_trace(path: Path) -> tuple[str, tuple[Action, ...]]:
     """The scope's name and the actions of a saved trace.
 
     Raises:
         OSError: the file cannot be read.
-        ValueError: it is not a trace.
+        TraceFormatError: it is not a trace.
     """
     try:
         trace = json.loads(path.read_text())
         return str(trace["scope"]), tuple(from_json(each) for each in trace["actions"])
-    except (KeyError, TypeError) as problem:
-        raise ValueError(f"not a trace: {problem}") from problem
+    except (KeyError, TypeError, ValueError) as problem:
+        raise TraceFormatError(f"not a trace: {problem}") from problem
 
 
 def describe(action: Action) -> str:
@@ -106,24 +113,27 @@
             return f"{process}: loses its disk and starts empty"
         case Remove(process):
             return f"{process}: was replaced and is removed for good"
-        case Cut(source, target):
-            return f"cut: nothing passes from {source} to {target}"
+        case BlockLink(source, target):
+            return f"link blocked: nothing passes from {source} to {target}"
         case Heal():
-            return "all cuts end"
+            return "all blocked links deliver again"
 
 
-def readable(found: Counterexample) -> str:
+def format_trace(counterexample: Counterexample) -> str:
     """The trace as numbered lines, the broken rule last."""
-    lines = [f"{number:3}  {describe(each)}" for number, each in enumerate(found.actions, 1)]
-    return "\n".join([*lines, f"     {found.text}"])
+    lines = [
+        f"{number:3}  {describe(each)}" for number, each in enumerate(counterexample.actions, 1)
+    ]
+    return "\n".join([*lines, f"     {counterexample.text}"])
 
 
-def as_test(scope: str, found: Counterexample) -> str:
+def format_as_test(scope: str, counterexample: Counterexample) -> str:
     """A unit test that fails as long as the trace breaks the rule."""
-    actions = ",\n".join(repr(each) for each in found.actions)
-    names = ", ".join(sorted({type(each).__name__ for each in found.actions}))
+    actions = ",\n".join(repr(each) for each in counterexample.actions)
+    names = ", ".join(sorted({type(each).__name__ for each in counterexample.actions}))
     return f"""import unittest
 
+from willowpost.common.errors import WillowpostError
 from willowpost.model.actions import {names}
 from willowpost.model.replay import replay
 from willowpost.model.scopes import SCOPES
@@ -141,4 +151,4 @@
 
 
 def _short(message: str) -> str:
-    return message if len(message) <= _TEXT_MOST else message[: _TEXT_MOST - 1] + "…"
+    return message if len(message) <= _MAX_MESSAGE_TEXT else message[: _MAX_MESSAGE_TEXT - 1] + "…"
--- a/src/willowpost/model/scope.py
+++ b/src/willowpost/model/scope.py
@@ -1,4 +1,4 @@
-"""How large a model is: its machines, its commands, and how much of each fault may come."""
+"""How large a model is: its machines, its commands, and how many faults of each kind may occur."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,6 +9,12 @@
 from willowpost.state.operations import Operation
 
 READS_OFF = NEVER
+# Reads, announcements and new segments never become due by themselves.
+QUIET_TUNING = ReplicaTuning(
+    quorum_read_interval_us=READS_OFF,
+    synced_index_interval_us=NEVER,
+    max_segment_decisions=NEVER,
+)
 
 
 class Budget(NamedTuple):
@@ -20,16 +26,19 @@
     removals: int = 0
     duplicates: int = 0
     losses: int = 0  # explicit ones; a message never delivered is lost in any case
-    cuts: int = 0
+    blocked_links: int = 0
     heals: int = 0
     short_ticks: int = 0
 
 
+NO_FAULTS = Budget()
+
+
 class Role(Enum):
     """What a machine's store is when the model begins."""
 
-    VOTER = "voter"  # one of those that founded the core
-    LEARNER = "learner"  # holds all that the voters hold, and has no vote
+    VOTER = "voter"  # a bootstrap member of the core
+    LEARNER = "learner"  # has all that the voters have, and no vote
     EMPTY = "empty"  # has an identity and nothing else
 
 
@@ -43,8 +52,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passes:
-    """A step of an opening: the newest message of this kind in flight on this link arrives."""
+class SetupDelivery:
+    """A step of a scope's setup: the newest message of this kind in flight on this link arrives."""
 
     source: str
     target: str
@@ -52,8 +61,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ticks:
-    """A step of an opening: all timers of this process are due; not counted among its ticks."""
+class SetupTick:
+    """A step of a scope's setup: all timers of this process are due; not one of its `ticks`."""
 
     process: str
 
@@ -71,8 +80,8 @@
     decided and synced before the model begins. `ticks` says how many timed ticks each process may
     have; a process that is not named has none.
 
-    `opening` leads from there to the state in which the model begins, and `cuts` are the links on
-    which nothing passes from then on.
+    `setup` leads from there to the state in which the model begins, and on `blocked_links`
+    nothing passes from then on.
 
     With `messages_stay` a message that was sent can arrive at any later moment, any number of
     times, or never: delivering it leaves it in flight. That covers every delay, order, loss and
@@ -87,15 +96,11 @@
     log_prefix: tuple[Operation, ...] = ()
     reader: bool = False
     ticks: dict[str, int] = field(default_factory=_no_ticks)
-    budget: Budget = Budget()
-    pace: ReplicaTuning = ReplicaTuning(
-        quorum_read_interval_us=READS_OFF,
-        synced_index_interval_us=NEVER,
-        max_segment_decisions=NEVER,
-    )
+    budget: Budget = NO_FAULTS
+    tuning: ReplicaTuning = QUIET_TUNING
     max_voters: int = 0
-    opening: tuple[Passes | Ticks, ...] = ()
-    cuts: frozenset[tuple[str, str]] = frozenset()
+    setup: tuple[SetupDelivery | SetupTick, ...] = ()
+    blocked_links: frozenset[tuple[str, str]] = frozenset()
     may_crash: tuple[str, ...] = ()  # empty: every store may
     may_lose_disk: tuple[str, ...] = ()  # empty: every store may
     messages_stay: bool = True
--- a/src/willowpost/model/search.py
+++ b/src/willowpost/model/search.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 from willowpost.model.actions import Action
-from willowpost.model.invariants import Violation
+from willowpost.model.invariants import InvariantViolationError
 from willowpost.model.system import System
 from willowpost.model.system_state import SystemState
 
-PROGRESS_EVERY_SECONDS = 5.0
+PROGRESS_INTERVAL_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     counterexample: Counterexample | None
 
 
-def _nothing(_: Progress) -> None:
+def _ignore_progress(_: Progress) -> None:
     return None
 
 
@@ -61,7 +61,7 @@
         self,
         system: System,
         limits: Limits | None = None,
-        report: Callable[[Progress], None] = _nothing,
+        report: Callable[[Progress], None] = _ignore_progress,
     ) -> None:
         self.system = system
         self.limits = limits or Limits()
@@ -72,12 +72,12 @@
         self._next_level: list[tuple[SystemState, int]] = []
         self._transitions = 0
         self._depth = 0
-        self._begun = 0.0
-        self._reported = 0.0
+        self._started_at = 0.0
+        self._reported_at = 0.0
 
     def run(self) -> SearchResult:
         """Searches until a violation, the end of the scope, or a limit."""
-        self._begun = self._reported = time.monotonic()
+        self._started_at = self._reported_at = time.monotonic()
         self._add(self.system.initial(), -1, None)
         while self._next_level:
             if self.limits.depth is not None and self._depth >= self.limits.depth:
@@ -86,9 +86,9 @@
             for state, index in self._level:
                 if self._limit_reached():
                     return self._result(False, None)
-                found = self._expand(state, index)
-                if found is not None:
-                    return self._result(True, found)
+                counterexample = self._expand(state, index)
+                if counterexample is not None:
+                    return self._result(True, counterexample)
             self._depth += 1
         return self._result(True, None)
 
@@ -105,7 +105,7 @@
             self._transitions += 1
             try:
                 reached = self.system.successor(state, action)
-            except Violation as violation:
+            except InvariantViolationError as violation:
                 actions = (*self._path(index), action)
                 return Counterexample(violation.rule, str(violation), actions)
             if reached is not state:
@@ -122,12 +122,12 @@
 
     def _limit_reached(self) -> bool:
         now = time.monotonic()
-        if now - self._reported >= PROGRESS_EVERY_SECONDS:
-            self._reported = now
+        if now - self._reported_at >= PROGRESS_INTERVAL_SECONDS:
+            self._reported_at = now
             self.report(self._progress())
         states, seconds = self.limits.states, self.limits.seconds
         return (states is not None and len(self._seen) >= states) or (
-            seconds is not None and now - self._begun >= seconds
+            seconds is not None and now - self._started_at >= seconds
         )
 
     def _progress(self) -> Progress:
@@ -136,8 +136,8 @@
             self._transitions,
             self._depth,
             len(self._next_level),
-            time.monotonic() - self._begun,
+            time.monotonic() - self._started_at,
         )
 
-    def _result(self, complete: bool, found: Counterexample | None) -> SearchResult:
-        return SearchResult(self._progress(), complete, found)
+    def _result(self, complete: bool, counterexample: Counterexample | None) -> SearchResult:
+        return SearchResult(self._progress(), complete, counterexample)
--- a/src/willowpost/model/state_changes.py
+++ b/src/willowpost/model/state_changes.py
@@ -1,9 +1,10 @@
 """Small changes of a system state, each giving a new one."""
 
+from willowpost.common.errors import WillowpostError
 from willowpost.model.system_state import SystemState
 
 
-class NotPossible(Exception):
+class ActionNotPossibleError(WillowpostError):
     """The action cannot happen in this state."""
 
 
@@ -11,11 +12,11 @@
     """The state with one less of this kind in its budget.
 
     Raises:
-        NotPossible: none is left.
+        ActionNotPossibleError: none is left.
     """
     left = getattr(state.budget, kind)
     if not left:
-        raise NotPossible(f"no {kind} are left in the scope's budget")
+        raise ActionNotPossibleError(f"no {kind} are left in the scope's budget")
     return state._replace(budget=state.budget._replace(**{kind: left - 1}))
 
 
--- a/src/willowpost/model/steps.py
+++ b/src/willowpost/model/steps.py
@@ -1,4 +1,4 @@
-"""Single steps of single processes, each taken once and kept."""
+"""Single steps of single processes, each taken once and cached."""
 
 import json
 from dataclasses import dataclass, replace
@@ -6,14 +6,14 @@
 
 from willowpost.common.events import Received
 from willowpost.common.events import Tick as TickEvent
-from willowpost.model.invariants import FAILED, Violation, check_progress
+from willowpost.model.components import StateComponents, text_of
+from willowpost.model.invariants import PROCESS_FAILURE, InvariantViolationError, check_progress
 from willowpost.model.logical_time import NOW, aged
-from willowpost.model.parts import Parts, text_of
 from willowpost.model.process_image import copy_of
 from willowpost.model.processes import READER, build_store
 from willowpost.wire.messages import StateUpdate
 
-TIMED_TICK = -1  # in place of a message's number
+TIMED_TICK = -1  # instead of a message's number
 SHORT_TICK = -2
 
 
@@ -45,25 +45,25 @@
 
 
 class ProcessSteps:
-    """Takes steps; the outcome depends on the process and the event alone, and is kept."""
+    """Takes steps; the outcome depends on the process and the event alone, and is cached."""
 
-    def __init__(self, parts: Parts) -> None:
-        self.parts = parts
-        self._outcomes: dict[tuple[int, int], Outcome | Violation] = {}
+    def __init__(self, components: StateComponents) -> None:
+        self.components = components
+        self._outcomes: dict[tuple[int, int], Outcome | InvariantViolationError] = {}
         self.taken = 0  # those looked up again do not count
 
-    def need(self, process: int, event: int) -> Outcome:
+    def require_outcome(self, process: int, event: int) -> Outcome:
         """The same as `outcome`.
 
         Raises:
-            Violation: the step breaks a rule.
+            InvariantViolationError: the step breaks a rule.
         """
         outcome = self.outcome(process, event)
-        if isinstance(outcome, Violation):
+        if isinstance(outcome, InvariantViolationError):
             raise outcome
         return outcome
 
-    def outcome(self, process: int, event: int) -> Outcome | Violation:
+    def outcome(self, process: int, event: int) -> Outcome | InvariantViolationError:
         """What the step of this process does; `event` is a message's number or a kind of tick."""
         key = (process, event)
         known = self._outcomes.get(key)
@@ -71,16 +71,16 @@
             known = self._outcomes[key] = self._step(process, event)
         return known
 
-    def _step(self, process: int, number: int) -> Outcome | Violation:
+    def _step(self, process: int, number: int) -> Outcome | InvariantViolationError:
         self.taken += 1
         timed = number == TIMED_TICK
-        before = self.parts.images[process]
+        before = self.components.images[process]
         after = copy_of(before, aged) if timed else copy_of(before)
         name = _name_of(after)
         try:
             plan = after.step(self._event(name, number), NOW)
         except Exception as problem:  # whatever it is, the daemon would end by it
-            return Violation(FAILED, f"{name}: {problem!r}")
+            return InvariantViolationError(PROCESS_FAILURE, f"{name}: {problem!r}")
         completed = False
         if hasattr(after, "node_state"):
             completed = after.node_state.fresh_as_of == NOW and (
@@ -88,37 +88,43 @@
             )
             try:
                 check_progress(before.node_state, after.node_state, name)
-            except Violation as violation:
+            except InvariantViolationError as violation:
                 return violation
         return Outcome(
-            image=self.parts.number_image(after),
+            image=self.components.intern_image(after),
             records=tuple(map(text_of, plan.records)),
             rotate=None if plan.rotate is None else tuple(map(text_of, plan.rotate)),
-            messages=tuple(dict.fromkeys(self.parts.number_sends(name, plan))),
+            messages=tuple(dict.fromkeys(self.components.intern_sends(name, plan))),
             completed_read=completed,
         )
 
     def _event(self, name: str, number: int) -> Received | TickEvent:
         if number < 0:
             return TickEvent()
-        source, _, message = self.parts.messages[number]
+        source, _, message = self.components.messages[number]
         return Received(source, _without_freshness(message) if name == READER else message)
 
-    def start(self, number: int, disk: int, life: int) -> int:
+    def start(self, number: int, disk: int, incarnation_count: int) -> int:
         """The number of a store's process that starts from this disk.
 
         Raises:
-            Violation: it cannot start.
+            InvariantViolationError: it cannot start.
         """
-        records = [json.loads(line) for line in self.parts.disks[disk]]
-        machine = self.parts.scope.machines[number]
+        records = [json.loads(line) for line in self.components.disks[disk]]
+        machine = self.components.scope.machines[number]
         try:
             store = build_store(
-                self.parts.scope, machine, records, life, self.parts.switches.thresholds
+                self.components.scope,
+                machine,
+                records,
+                incarnation_count,
+                self.components.switches.thresholds,
             )
         except Exception as problem:  # whatever it is, the daemon would not start
-            raise Violation(FAILED, f"{machine.name} cannot start: {problem!r}") from problem
-        return self.parts.number_image(store)
+            raise InvariantViolationError(
+                PROCESS_FAILURE, f"{machine.name} cannot start: {problem!r}"
+            ) from problem
+        return self.components.intern_image(store)
 
 
 def _name_of(process: Any) -> str:
--- a/src/willowpost/model/system.py
+++ b/src/willowpost/model/system.py
@@ -5,10 +5,10 @@
 
 from willowpost.model.actions import (
     Action,
+    BlockLink,
     Crash,
     CrashAfterSending,
     CrashOnDelivery,
-    Cut,
     Deliver,
     Delivery,
     Heal,
@@ -18,85 +18,88 @@
     Tick,
     Wipe,
 )
-from willowpost.model.beginning import first_state
-from willowpost.model.enabled import EnabledActions
+from willowpost.model.components import StateComponents, text_of
+from willowpost.model.enabled_actions import EnabledActions
+from willowpost.model.history_updates import HistoryUpdates
+from willowpost.model.initial_state import initial_state
 from willowpost.model.invariants import (
     check_durability,
     check_read,
     check_restart,
 )
-from willowpost.model.parts import Parts, Switches, text_of
 from willowpost.model.processes import empty_disk, identity_of
-from willowpost.model.promises import Promises
-from willowpost.model.scope import Passes, Scope, Ticks
+from willowpost.model.scope import Scope, SetupDelivery, SetupTick
 from willowpost.model.state_changes import (
-    NotPossible,
+    ActionNotPossibleError,
     spent,
     with_item,
     with_messages,
     without_message,
 )
 from willowpost.model.steps import SHORT_TICK, TIMED_TICK, Outcome, ProcessSteps
+from willowpost.model.switches import ALL_PROTECTIONS_ON, Switches
 from willowpost.model.system_state import DOWN, GONE, SystemState
 
 
 class System:
     """The modelled system; states are values, and successor() changes no earlier state."""
 
-    def __init__(self, scope: Scope, switches: Switches | None = None) -> None:
-        self.parts = Parts(scope, switches or Switches())
-        self.steps = ProcessSteps(self.parts)
-        self.enabled = EnabledActions(self.parts, self.steps)
-        self.promises = Promises(self.parts)
+    def __init__(self, scope: Scope, switches: Switches = ALL_PROTECTIONS_ON) -> None:
+        self.components = StateComponents(scope, switches)
+        self.steps = ProcessSteps(self.components)
+        self.enabled = EnabledActions(self.components, self.steps)
+        self.history_updates = HistoryUpdates(self.components)
         self._initial: SystemState | None = None
-        self._durable: set[tuple[tuple[int, ...], int]] = set()
+        self._checked_durability: set[tuple[tuple[int, ...], int]] = set()
 
     def actions(self, state: SystemState, exact: bool = True) -> Iterator[Action]:
         """Everything that may happen next; see `EnabledActions.actions`."""
         return self.enabled.actions(state, exact)
 
     def initial(self) -> SystemState:
-        """The state that the scope describes, after its opening.
+        """The state that the scope describes, after its setup.
 
         Raises:
-            NotPossible: a step of the opening cannot happen.
-            Violation: an invariant does not hold on the way.
+            ActionNotPossibleError: a step of the setup cannot happen.
+            InvariantViolationError: an invariant does not hold on the way.
         """
         if self._initial is None:
-            state = first_state(self.parts, self.steps)
-            for step in self.parts.scope.opening:
-                state = self._opened(state, step)
-            self._initial = state._replace(cuts=self.parts.scope.cuts)
+            state = initial_state(self.components, self.steps)
+            for step in self.components.scope.setup:
+                state = self._apply_setup_step(state, step)
+            self._initial = state._replace(blocked_links=self.components.scope.blocked_links)
         return self._initial
 
-    def _opened(self, state: SystemState, step: Passes | Ticks) -> SystemState:
-        if isinstance(step, Ticks):
-            number = self.parts.index[step.process]
+    def _apply_setup_step(self, state: SystemState, step: SetupDelivery | SetupTick) -> SystemState:
+        if isinstance(step, SetupTick):
+            number = self.components.index[step.process]
             more = state._replace(ticks=with_item(state.ticks, number, state.ticks[number] + 1))
             return self.successor(more, Tick(step.process))
         for number in sorted(state.network, reverse=True):
-            source, target, body = self.parts.messages[number]
+            source, target, body = self.components.messages[number]
             if (source, target, type(body)) == (step.source, step.target, step.kind):
                 return self.successor(
-                    state, Deliver(source, target, self.parts.message_text(number))
+                    state, Deliver(source, target, self.components.message_text(number))
                 )
-        raise NotPossible(f"no message for {step}")
+        raise ActionNotPossibleError(f"no message for {step}")
 
     def successor(self, state: SystemState, action: Action) -> SystemState:
         """The state after the action.
 
         Raises:
-            NotPossible: the action cannot happen in this state.
-            Violation: an invariant does not hold in or on the way to the next state.
+            ActionNotPossibleError: the action cannot happen in this state.
+            InvariantViolationError: an invariant does not hold in or on the way to the next state.
         """
-        reached = self._reached(state, action)
-        durable_parts = (reached.disks, reached.history)
-        if durable_parts not in self._durable:
-            check_durability(self.parts.disk_facts(reached), self.parts.histories[reached.history])
-            self._durable.add(durable_parts)
-        return reached
-
-    def _reached(self, state: SystemState, action: Action) -> SystemState:
+        successor = self._apply(state, action)
+        durable_state = (successor.disks, successor.history)
+        if durable_state not in self._checked_durability:
+            check_durability(
+                self.components.disk_facts(successor), self.components.histories[successor.history]
+            )
+            self._checked_durability.add(durable_state)
+        return successor
+
+    def _apply(self, state: SystemState, action: Action) -> SystemState:
         match action:
             case Deliver():
                 return self._deliver(state, action)
@@ -111,7 +114,7 @@
                 return self._tick(state, name, timed)
             case Crash(name):
                 self._running(state, name)
-                down = with_item(state.processes, self.parts.index[name], DOWN)
+                down = with_item(state.processes, self.components.index[name], DOWN)
                 return spent(state, "crashes")._replace(processes=down)
             case Restart(name):
                 return self._restart(state, name)
@@ -119,65 +122,71 @@
                 return self._wipe(state, name)
             case Remove(name):
                 return self._remove(state, name)
-            case Cut(source, target):
-                return spent(state, "cuts")._replace(cuts=state.cuts | {(source, target)})
+            case BlockLink(source, target):
+                return spent(state, "blocked_links")._replace(
+                    blocked_links=state.blocked_links | {(source, target)}
+                )
             case Heal():
-                return spent(state, "heals")._replace(cuts=frozenset())
+                return spent(state, "heals")._replace(blocked_links=frozenset())
 
     def _running(self, state: SystemState, name: str) -> int:
-        process = state.processes[self.parts.index[name]]
+        process = state.processes[self.components.index[name]]
         if process < 0:
-            raise NotPossible(f"{name} is not running")
+            raise ActionNotPossibleError(f"{name} is not running")
         return process
 
     def _in_flight(self, state: SystemState, action: Delivery) -> int:
-        number = self.parts.message_number(action.source, action.target, action.message)
+        number = self.components.message_number(action.source, action.target, action.message)
         if number is None or number not in state.network:
-            raise NotPossible("no such message is in flight")
+            raise ActionNotPossibleError("no such message is in flight")
         return number
 
     def _after_delivery(self, network: tuple[int, ...], number: int) -> tuple[int, ...]:
-        return network if self.parts.scope.messages_stay else without_message(network, number)
+        return network if self.components.scope.messages_stay else without_message(network, number)
 
     def _deliver(self, state: SystemState, action: Deliver) -> SystemState:
         number = self._in_flight(state, action)
         process = self._running(state, action.target)
-        if (action.source, action.target) in state.cuts:
-            raise NotPossible("the link is cut")
+        if (action.source, action.target) in state.blocked_links:
+            raise ActionNotPossibleError("the link is blocked")
         if action.keep:
             state = spent(state, "duplicates")
         else:
             state = state._replace(network=self._after_delivery(state.network, number))
-        return self._carried_out(state, action.target, self.steps.need(process, number))
+        return self._apply_outcome(
+            state, action.target, self.steps.require_outcome(process, number)
+        )
 
     def _tick(self, state: SystemState, name: str, timed: bool) -> SystemState:
-        process, number = self._running(state, name), self.parts.index[name]
+        process, number = self._running(state, name), self.components.index[name]
         if timed:
             if not state.ticks[number]:
-                raise NotPossible(f"{name} has no timed tick left")
+                raise ActionNotPossibleError(f"{name} has no timed tick left")
             history = state.history
-            if self.parts.reads(name):
-                begun = self.parts.histories[history].with_read_begun(name)
-                history = self.parts.histories.number(begun, begun)
+            if self.components.reads(name):
+                started = self.components.histories[history].with_read_started(name)
+                history = self.components.histories.intern(started, started)
             ticks = with_item(state.ticks, number, state.ticks[number] - 1)
             state = state._replace(ticks=ticks, history=history)
         else:
             state = spent(state, "short_ticks")
-        return self._carried_out(
-            state, name, self.steps.need(process, TIMED_TICK if timed else SHORT_TICK)
+        return self._apply_outcome(
+            state, name, self.steps.require_outcome(process, TIMED_TICK if timed else SHORT_TICK)
         )
 
-    def _carried_out(self, state: SystemState, name: str, outcome: Outcome) -> SystemState:
-        number = self.parts.index[name]
+    def _apply_outcome(self, state: SystemState, name: str, outcome: Outcome) -> SystemState:
+        number = self.components.index[name]
         if outcome.changes_nothing and outcome.image == state.processes[number]:
             return state
-        history = self.promises.after_step(state.history, name, outcome)
+        history = self.history_updates.after_step(state.history, name, outcome)
         if outcome.completed_read:
-            slot = self.parts.images[outcome.image].node_state.tables.slot
-            check_read(slot, self.parts.histories[state.history], name)
+            slot = self.components.images[outcome.image].node_state.tables.slot
+            check_read(slot, self.components.histories[state.history], name)
         disks = state.disks
         if outcome.writes:
-            disks = with_item(disks, number, self._written(disks[number], outcome, outcome.writes))
+            disks = with_item(
+                disks, number, self._disk_after(disks[number], outcome, outcome.writes)
+            )
         return state._replace(
             processes=with_item(state.processes, number, outcome.image),
             disks=disks,
@@ -185,25 +194,27 @@
             history=history,
         )
 
-    def _written(self, disk: int, outcome: Outcome, count: int) -> int:
-        return self.parts.number_disk(outcome.on_disk(self.parts.disks[disk], count))
+    def _disk_after(self, disk: int, outcome: Outcome, count: int) -> int:
+        return self.components.intern_disk(outcome.on_disk(self.components.disks[disk], count))
 
     def _crash_on_delivery(
         self, state: SystemState, action: CrashOnDelivery | CrashAfterSending
     ) -> SystemState:
         number = self._in_flight(state, action)
-        process, target = self._running(state, action.target), self.parts.index[action.target]
-        outcome = self.steps.need(process, number)
+        process, target = self._running(state, action.target), self.components.index[action.target]
+        outcome = self.steps.require_outcome(process, number)
         network, history = self._after_delivery(state.network, number), state.history
-        written = 0
+        written_count = 0
         if isinstance(action, CrashOnDelivery):
-            written = min(action.written, outcome.writes)
+            written_count = min(action.written, outcome.writes)
         else:
             network = with_messages(network, outcome.messages)
             sent = replace(outcome, records=(), rotate=None)
-            after = self.promises.after_saying(self.parts.histories[history], action.target, sent)
-            history = self.parts.histories.number(after, after)
-        disk = self._written(state.disks[target], outcome, written)
+            after = self.history_updates.after_sending(
+                self.components.histories[history], action.target, sent
+            )
+            history = self.components.histories.intern(after, after)
+        disk = self._disk_after(state.disks[target], outcome, written_count)
         return spent(state, "torn")._replace(
             processes=with_item(state.processes, target, DOWN),
             disks=with_item(state.disks, target, disk),
@@ -212,37 +223,41 @@
         )
 
     def _restart(self, state: SystemState, name: str) -> SystemState:
-        number = self.parts.index[name]
+        number = self.components.index[name]
         if state.processes[number] != DOWN:
-            raise NotPossible(f"{name} is not down")
-        disk, life = state.disks[number], state.lives[number] + 1
-        check_restart(self.parts.facts(disk), self.parts.histories[state.history], name)
+            raise ActionNotPossibleError(f"{name} is not down")
+        disk, incarnation_count = state.disks[number], state.incarnation_counts[number] + 1
+        check_restart(self.components.facts(disk), self.components.histories[state.history], name)
         return state._replace(
-            processes=with_item(state.processes, number, self.steps.start(number, disk, life)),
-            lives=with_item(state.lives, number, life),
+            processes=with_item(
+                state.processes, number, self.steps.start(number, disk, incarnation_count)
+            ),
+            incarnation_counts=with_item(state.incarnation_counts, number, incarnation_count),
         )
 
     def _wipe(self, state: SystemState, name: str) -> SystemState:
-        number = self.parts.index[name]
-        if state.processes[number] == GONE or not self.enabled.bears_loss(state, number):
-            raise NotPossible(f"the loss of {name} is beyond f")
+        number = self.components.index[name]
+        if state.processes[number] == GONE or not self.enabled.tolerates_loss(state, number):
+            raise ActionNotPossibleError(f"the loss of {name} is beyond f")
         lost = state.disks_lost[number] + 1
-        records = empty_disk(self.parts.scope.machines[number], lost)
-        if self.parts.switches.reuse_identity:
+        records = empty_disk(self.components.scope.machines[number], lost)
+        if self.components.switches.reuse_identity:
             records = [{**records[0], "identity": identity_of(name, 0)}]
-        disk = self.parts.number_disk(tuple(map(text_of, records)))
-        life = state.lives[number] + 1
+        disk = self.components.intern_disk(tuple(map(text_of, records)))
+        incarnation_count = state.incarnation_counts[number] + 1
         return spent(state, "wipes")._replace(
-            processes=with_item(state.processes, number, self.steps.start(number, disk, life)),
+            processes=with_item(
+                state.processes, number, self.steps.start(number, disk, incarnation_count)
+            ),
             disks=with_item(state.disks, number, disk),
-            lives=with_item(state.lives, number, life),
+            incarnation_counts=with_item(state.incarnation_counts, number, incarnation_count),
             disks_lost=with_item(state.disks_lost, number, lost),
         )
 
     def _remove(self, state: SystemState, name: str) -> SystemState:
-        number = self.parts.index[name]
+        number = self.components.index[name]
         if state.processes[number] == GONE or not self.enabled.is_replaced(state, number):
-            raise NotPossible(f"{name} was not replaced")
+            raise ActionNotPossibleError(f"{name} was not replaced")
         return spent(state, "removals")._replace(
             processes=with_item(state.processes, number, GONE),
             disks=with_item(state.disks, number, GONE),
--- a/src/willowpost/model/walks.py
+++ b/src/willowpost/model/walks.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from willowpost.model.actions import Action, CrashOnDelivery, Deliver
-from willowpost.model.invariants import Violation
-from willowpost.model.replay import shortened
-from willowpost.model.search import PROGRESS_EVERY_SECONDS, Counterexample
+from willowpost.model.invariants import InvariantViolationError
+from willowpost.model.replay import shorten
+from willowpost.model.search import PROGRESS_INTERVAL_SECONDS, Counterexample
 from willowpost.model.system import System
 
 # A walk delivers so much more often than it breaks something, so that commands get through.
@@ -34,7 +34,7 @@
     counterexample: Counterexample | None
 
 
-def _nothing(_: WalkProgress) -> None:
+def _ignore_progress(_: WalkProgress) -> None:
     return None
 
 
@@ -49,7 +49,7 @@
         system: System,
         depth: int,
         seed: int,
-        report: Callable[[WalkProgress], None] = _nothing,
+        report: Callable[[WalkProgress], None] = _ignore_progress,
     ) -> None:
         self.system = system
         self.depth = depth
@@ -59,38 +59,38 @@
 
     def run(self, walks: int, seconds: float | None = None) -> WalkResult:
         """Up to so many walks; ends at the first violation, or when the time is over."""
-        begun = reported = time.monotonic()
+        started_at = reported_at = time.monotonic()
         for number in range(walks):
-            found = self._walk(random.Random(f"{self.seed}/{number}"))
+            counterexample = self._walk(random.Random(f"{self.seed}/{number}"))
             now = time.monotonic()
-            progress = WalkProgress(number + 1, self._steps, now - begun)
-            if found is not None:
-                return WalkResult(progress, shortened(self.system, found))
-            if seconds is not None and now - begun >= seconds:
+            progress = WalkProgress(number + 1, self._steps, now - started_at)
+            if counterexample is not None:
+                return WalkResult(progress, shorten(self.system, counterexample))
+            if seconds is not None and now - started_at >= seconds:
                 return WalkResult(progress, None)
-            if now - reported >= PROGRESS_EVERY_SECONDS:
-                reported = now
+            if now - reported_at >= PROGRESS_INTERVAL_SECONDS:
+                reported_at = now
                 self.report(progress)
-        return WalkResult(WalkProgress(walks, self._steps, time.monotonic() - begun), None)
+        return WalkResult(WalkProgress(walks, self._steps, time.monotonic() - started_at), None)
 
-    def _walk(self, chance: random.Random) -> Counterexample | None:
+    def _walk(self, rng: random.Random) -> Counterexample | None:
         state = self.system.initial()
         taken: list[Action] = []
         for _ in range(self.depth):
             actions = list(self.system.actions(state, exact=False))
             if not actions:
                 return None
-            action = self._chosen(chance, actions)
+            action = self._choose(rng, actions)
             self._steps += 1
             try:
                 state = self.system.successor(state, action)
-            except Violation as violation:
+            except InvariantViolationError as violation:
                 return Counterexample(violation.rule, str(violation), (*taken, action))
             taken.append(action)
         return None
 
-    def _chosen(self, chance: random.Random, actions: list[Action]) -> Action:
-        return chance.choices(actions, [_weight(action) for action in actions])[0]
+    def _choose(self, rng: random.Random, actions: list[Action]) -> Action:
+        return rng.choices(actions, [_weight(action) for action in actions])[0]
 
 
 def _weight(action: Action) -> float:
--- a/tests/model/test_model_checker.py
+++ b/tests/model/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The model checker: small scopes hold, and each protection switched off breaks its rule."""
+"""The model checker: no invariant breaks in small scopes, and each protection switched off breaks its rule."""
 
 import tempfile
 import unittest
@@ -9,21 +9,29 @@
 from willowpost.model.history import History
 from willowpost.model.invariants import (
     AGREEMENT,
-    BALLOT_UNSAID,
+    BALLOT_CONTRADICTED,
     DURABILITY,
-    ONE_CONTENT,
+    SLOT_REGRESSION,
     STALE_READ,
-    WENT_BACK,
-    Violation,
+    VERSION_CONFLICT,
+    InvariantViolationError,
     record_configuration,
     record_decisions,
 )
 from willowpost.model.logical_time import BEFORE, NOW, aged
 from willowpost.model.process_image import Fingerprints, copy_of
 from willowpost.model.protections import PROTECTIONS
-from willowpost.model.replay import as_test, load, readable, replay, save, shortened
+from willowpost.model.replay import (
+    format_as_test,
+    format_trace,
+    load_trace,
+    replay,
+    save_trace,
+    shorten,
+)
 from willowpost.model.scopes import SCOPES
 from willowpost.model.search import BreadthFirstSearch, Limits
+from willowpost.model.switches import ALL_PROTECTIONS_ON
 from willowpost.model.system import System
 from willowpost.model.walks import RandomWalks
 from willowpost.state.entries import ActiveConfiguration
@@ -33,9 +41,9 @@
 BROKEN_WITHOUT = {
     "quorum": (DURABILITY, 1),
     "votes-to-decide": (AGREEMENT, 5),
-    "sync-before-send": (WENT_BACK, 5),
+    "sync-before-send": (SLOT_REGRESSION, 5),
     "synced-before-accepted": (DURABILITY, 4),
-    "ballot-state-kept": (BALLOT_UNSAID, 5),
+    "ballot-state-kept": (BALLOT_CONTRADICTED, 5),
     "epoch-barrier": (STALE_READ, 11),
     "barrier-over-new-voters": (DURABILITY, 2),
     "barrier-over-former-voters": (STALE_READ, 12),
@@ -44,7 +52,7 @@
     "store-read-in-one-epoch": (STALE_READ, 5),
     "reader-read-in-one-epoch": (STALE_READ, 7),
 }
-# scope: how many actions deep every state of it is looked at here; None: to its end
+# scope: how many actions deep every state of it is searched here; None: to its end
 WALKED = {"three-voters", "five-voters", "growth", "replacement"}
 DEPTHS = {
     "one-command": 5,
@@ -64,7 +72,7 @@
 }
 
 
-def search(scope, depth=None, switches=None):
+def search(scope, depth=None, switches=ALL_PROTECTIONS_ON):
     return BreadthFirstSearch(System(SCOPES[scope], switches), Limits(depth=depth)).run()
 
 
@@ -121,7 +129,7 @@
     def test(self):
         result = search(name, depth)
         found = result.counterexample
-        self.assertIsNone(found, found and readable(found))
+        self.assertIsNone(found, found and format_trace(found))
         self.assertEqual(depth is None, result.complete)
 
     return test
@@ -137,7 +145,7 @@
             with self.subTest(scope=name):
                 scope = replace(SCOPES[name], messages_stay=False)
                 found = RandomWalks(System(scope), 60, 1).run(20).counterexample
-                self.assertIsNone(found, found and readable(found))
+                self.assertIsNone(found, found and format_trace(found))
 
 
 class Traces(unittest.TestCase):
@@ -151,31 +159,31 @@
     def test_saved_loaded_and_replayed(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "trace.json"
-            save(path, self.scope, self.found)
-            scope, actions = load(path)
+            save_trace(path, self.scope, self.found)
+            scope, actions = load_trace(path)
         self.assertEqual((self.scope, self.found.actions), (scope, actions))
         self.assertEqual(self.found, replay(self.system, actions))
 
-    def test_what_is_no_trace_is_said_to_be_none(self):
+    def test_a_file_that_is_no_trace_is_rejected(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "trace.json"
             for text in ("{}", "[]", "no json", '{"scope": "x", "actions": [{"do": "Fly"}]}'):
                 path.write_text(text)
                 with self.assertRaises(ValueError):
-                    load(path)
+                    load_trace(path)
 
     def test_the_printed_test_fails_while_the_rule_is_broken(self):
-        held = {"__name__": "printed"}
-        exec(as_test(self.scope, self.found), held)
+        namespace = {"__name__": "printed"}
+        exec(format_as_test(self.scope, self.found), namespace)
         result = unittest.TestResult()
-        held["Trace"]("test_the_trace_breaks_no_rule").run(result)
+        namespace["Trace"]("test_the_trace_breaks_no_rule").run(result)
         self.assertEqual(1, len(result.failures))
 
     def test_shortened_leaves_out_what_is_not_needed(self):
         first, *rest = self.found.actions
         longer = replay(self.system, (first, first, *rest))
         self.assertEqual(len(self.found.actions) + 1, len(longer.actions))
-        self.assertEqual(len(self.found.actions), len(shortened(self.system, longer).actions))
+        self.assertEqual(len(self.found.actions), len(shorten(self.system, longer).actions))
 
     def test_actions_as_json(self):
         for action in self.found.actions:
@@ -191,22 +199,22 @@
 class Invariants(unittest.TestCase):
     def test_two_decisions_of_one_slot_break_agreement(self):
         history = record_decisions(History(), [{"k": "decision", "slot": 0, "key": "a"}], "s0")
-        with self.assertRaisesRegex(Violation, AGREEMENT):
+        with self.assertRaisesRegex(InvariantViolationError, AGREEMENT):
             record_decisions(history, [{"k": "decision", "slot": 0, "key": ""}], "s1")
 
-    def test_two_contents_of_one_version_are_told(self):
+    def test_two_contents_of_one_version_are_reported(self):
         one = Tables(configuration=ActiveConfiguration(2, {"host": "a"}))
         two = Tables(configuration=ActiveConfiguration(2, {"host": "b"}))
         history = record_configuration(History(), one, "s0")
         self.assertEqual(history, record_configuration(history, one, "s1"))
-        with self.assertRaisesRegex(Violation, ONE_CONTENT):
+        with self.assertRaisesRegex(InvariantViolationError, VERSION_CONFLICT):
             record_configuration(history, two, "s1")
 
 
 class Images(unittest.TestCase):
     def test_a_copy_shares_nothing_that_changes(self):
         system = System(SCOPES["one-command"])
-        store = system.parts.images[system.initial().processes[0]]
+        store = system.components.images[system.initial().processes[0]]
         copied = copy_of(store)
         self.assertEqual(Fingerprints().of(store), Fingerprints().of(copied))
         self.assertIs(copied.node_state, copied.controllers[0].node_state)
@@ -215,10 +223,10 @@
         self.assertNotEqual(Fingerprints().of(store), Fingerprints().of(copied))
 
     def test_a_timed_tick_ages_moments_and_nothing_else(self):
-        held = {"asked_at": NOW, "slot": 7, "key": "a", "spans": [NOW, 40]}
+        values = {"asked_at": NOW, "slot": 7, "key": "a", "spans": [NOW, 40]}
         self.assertEqual(
             {"asked_at": BEFORE, "slot": 7, "key": "a", "spans": [BEFORE, 40]},
-            copy_of(held, aged),
+            copy_of(values, aged),
         )
 
 
