--- a/src/willowpost/toolbox/folder_checker.py
+++ b/src/willowpost/toolbox/folder_checker.py
@@ -2,7 +2,7 @@
 
 import json
 import os
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -31,25 +31,31 @@
 
 @dataclass(frozen=True, slots=True)
 class FolderFacts:
-    """What a readable segment says; the fields are named as `wpdrill check` prints them.
+    """What a readable segment says about its store.
 
     Attributes:
         identity: Of the store; None if the segment does not name it.
-        slot: The next slot to decide; None before a snapshot or a founding record.
-        bootstrapped: Whether the store belongs to a cluster.
+        next_slot: The next slot to decide; None without a snapshot or a founding record.
+        is_bootstrapped: Whether the store belongs to a cluster.
         segment: File name of the segment.
-        records: How many records it has.
+        record_count: How many records the segment has.
     """
 
     identity: str | None
-    slot: int | None
-    bootstrapped: bool
+    next_slot: int | None
+    is_bootstrapped: bool
     segment: str
-    records: int
+    record_count: int
 
     def to_json(self) -> dict[str, Any]:
         """The facts as `wpdrill check` prints them."""
-        return asdict(self)
+        return {
+            "identity": self.identity,
+            "slot": self.next_slot,
+            "bootstrapped": self.is_bootstrapped,
+            "segment": self.segment,
+            "records": self.record_count,
+        }
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,10 +150,10 @@
         """What the records say, after `read`."""
         return FolderFacts(
             identity=records[0].get("identity") if records else None,
-            slot=self._next_slot,
-            bootstrapped=self._is_bootstrapped,
+            next_slot=self._next_slot,
+            is_bootstrapped=self._is_bootstrapped,
             segment=self.segment,
-            records=len(records),
+            record_count=len(records),
         )
 
     def _report(self, record_number: int, description: str) -> None:
--- a/tests/toolbox/test_folder_checker.py
+++ b/tests/toolbox/test_folder_checker.py
@@ -37,7 +37,7 @@
     def test_a_valid_folder_has_no_issue_and_replays_to_the_running_tables(self):
         folder = self.folder(self.segment_data())
         report = FolderChecker().check(folder)
-        self.assertEqual(((), self.tables.slot), (report.issues, report.facts.slot))
+        self.assertEqual(((), self.tables.slot), (report.issues, report.facts.next_slot))
         self.assertEqual(self.tables.digest(), LogReplay().run(folder).digest())
 
     def test_replay_stops_at_any_slot(self):
