--- a/src/willowpost/proxy/frontend.py
+++ b/src/willowpost/proxy/frontend.py
@@ -158,7 +158,8 @@
         Args:
             head: The request's head.
             body: Its complete body.
-            received_at: When its head was complete, by this process's clock, in µs.
+            received_at: When its head was complete, or its body if it has one, by this process's
+                clock, in µs.
             lifetime: Whether the client still waits.
 
         Raises:
--- a/src/willowpost/proxy/node.py
+++ b/src/willowpost/proxy/node.py
@@ -1,6 +1,6 @@
 """The control side of one proxy: follows the replicated state and owns quota shares.
 
-Requests are handled in routing/ and front.py.
+Requests are handled in `frontend.py` and `routing/`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
--- a/src/willowpost/proxy/origin/exchange.py
+++ b/src/willowpost/proxy/origin/exchange.py
@@ -23,7 +23,7 @@
 RECEIVE_BYTES = 64 * 1024
 # The kernel ends a connection whose bytes the other side has not acknowledged for so long: what a
 # network partition delays must not arrive at any later time. The retry budget counts on it
-# (budget.py).
+# (docs/design/retry-budget.md).
 TCP_USER_TIMEOUT_MS = 3000
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 
--- a/src/willowpost/proxy/routing/request.py
+++ b/src/willowpost/proxy/routing/request.py
@@ -31,7 +31,8 @@
         request_id: The caller's id of this request, or None.
         timeout_us: How long the caller waits from `received_at` on, in µs, or None if it did not
             say.
-        received_at: When the head was complete, by this process's clock, in µs.
+        received_at: When the head was complete, or the body if it has one, by this process's clock,
+            in µs.
         lifetime: Whether anybody still waits for the response.
     """
 
--- a/src/willowpost/shell/disk.py
+++ b/src/willowpost/shell/disk.py
@@ -33,8 +33,9 @@
 class Disk:
     """Writes segments; what append() and rotate() were given is synced when they return.
 
-    If they raise, nothing of it is in a segment that load() would read. The newest segment contains
-    all that older ones did. An older segment is removed only once the newer one's folder entry is
+    If append() raises, nothing of it is in a segment that load() would read; if rotate() raises, the
+    new segment is there only if no more than the sync of the folder failed, and is complete then. The
+    newest segment contains all that this store still needs of older ones. An older segment is removed only once the newer one's folder entry is
     synced; until then a power loss may remove either entry by itself.
 
     Syncs block the event loop: the one task that steps the node waits for them in any case, and a
--- a/src/willowpost/shell/runner.py
+++ b/src/willowpost/shell/runner.py
@@ -28,7 +28,7 @@
     """What a runner steps: a process's controllers behind one step().
 
     Attributes:
-        shutdown: the node's `GracefulShutdown`, whose `stage` tells how far it is.
+        shutdown: its `GracefulShutdown`, or a store's `StoreShutdown`; `stage` is the current stage.
     """
 
     shutdown: Any
@@ -40,7 +40,8 @@
 class Runner:
     """Steps a node in one task; all others reach it by events in its inbox.
 
-    If that task fails (a full disk, a bug), the process ends at once.
+    If that task fails (a bug, or a disk error that `RetryingDisk` does not wait out), the process ends
+    at once.
 
     Args:
         address: the process's `host:port` for messages.
@@ -114,7 +115,9 @@
                 self.inbox.put(WithdrawSubmission(token))
 
     def shut_down(self, close: Callable[[], object]) -> None:
-        """Leave the fleet by a graceful shutdown; returns when the process may end.
+        """End a proxy or registry by a `GracefulShutdown`; returns when the process may end.
+
+        A store has stages of its own: see `StoreDaemon.stop`.
 
         Args:
             close: called when the process should accept nothing new.
