--- a/src/willowpost/common/plan.py
+++ b/src/willowpost/common/plan.py
@@ -33,7 +33,7 @@
     """A log line.
 
     Attributes:
-        component: the part of the program that logs, such as "catch-up".
+        component: the part of the program that logs, such as "catchup".
         event: what happened.
         fields: its details by name; a unit stands in the name, as in `age_ms`.
     """
--- a/src/willowpost/configuration/checker.py
+++ b/src/willowpost/configuration/checker.py
@@ -18,11 +18,11 @@
     walk_branches,
 )
 from willowpost.shell.validation import validation_issues
-from willowpost.shell.validation_issue import ValidationIssue
+from willowpost.shell.validation_issue import PrintedIssue
 
 MAX_CONFIGURATION_BYTES = 4 * 1024 * 1024
 
-Issues = list[ValidationIssue]
+Issues = list[PrintedIssue]
 
 
 def object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -94,7 +94,7 @@
         return Err(issues) if issues else Ok(tree)
 
 
-def _tree_issues(tree: dict[str, Any]) -> Iterator[ValidationIssue]:
+def _tree_issues(tree: dict[str, Any]) -> Iterator[PrintedIssue]:
     """Yield what is wrong with a tree whose single fields are valid."""
     services = tree["services"]
     branches = list(walk_branches(tree))
@@ -111,7 +111,7 @@
         yield from _duplicate_issues(walked, first_locations)
 
 
-def _leaf_issues(walked: WalkedBranch) -> Iterator[ValidationIssue]:
+def _leaf_issues(walked: WalkedBranch) -> Iterator[PrintedIssue]:
     """Yield what a branch without branches below it lacks."""
     if walked.branch.get("branches"):
         return
@@ -123,7 +123,7 @@
 
 def _duplicate_issues(
     walked: WalkedBranch, first_locations: dict[tuple[str, str], str]
-) -> Iterator[ValidationIssue]:
+) -> Iterator[PrintedIssue]:
     """Yield an issue for a second route with the same host and path.
 
     Args:
@@ -141,7 +141,7 @@
 
 def _service_issues(
     location: str, settings: dict[str, Any], services: dict[str, Any]
-) -> Iterator[ValidationIssue]:
+) -> Iterator[PrintedIssue]:
     """Yield an issue for each unknown service that these settings themselves name."""
     service = settings.get("service")
     if service is not None and service not in services:
--- a/src/willowpost/configuration/routes.py
+++ b/src/willowpost/configuration/routes.py
@@ -29,7 +29,7 @@
         service: where they go, unless there is a split.
         methods: the methods that it takes.
         cache: whether responses may be cached.
-        shield: whether requests go by way of a shield.
+        shield: whether requests go through a shield.
         keep_seconds: how long a response may be cached at most, and by default.
         deadline_ms: how long a request may take.
         body_max: bytes that a request's body may have.
@@ -96,7 +96,7 @@
 def inherit_settings(inherited: SettingValues, own: SettingValues) -> SettingValues:
     """Return a branch's settings: its own, and the inherited ones that it does not set.
 
-    A service set below a split replaces it, and the other way round.
+    A service set below a split replaces it, and vice versa.
     """
     values = {name: value for name, value in own.items() if value is not None}
     for name in LIST_SETTINGS & values.keys():
--- a/src/willowpost/consensus/replica/acceptance.py
+++ b/src/willowpost/consensus/replica/acceptance.py
@@ -63,7 +63,7 @@
             plan.send(submission.source, answer)
 
     def _outcome(self, command: Command) -> CommandOutcome | None:
-        """Return what the log says of the command; None while it is not decided."""
+        """Return the outcome of the command in the log; None while it is not decided."""
         tables = self.node_state.tables
         if not self.node_state.is_decided(command):
             return None
--- a/src/willowpost/consensus/replica/ballot_exchange.py
+++ b/src/willowpost/consensus/replica/ballot_exchange.py
@@ -1,7 +1,7 @@
 """The exchange of ballot states between the replicas in the open slot.
 
 A ballot state is cumulative: a replica's proposal, and all its states and votes of the slot so far.
-It takes the place of the paper's Proposal, State and Vote messages (Algorithm 2), so that a lost
+It replaces the paper's Proposal, State and Vote messages (Algorithm 2), so that a lost
 message is made good by the next one.
 """
 
@@ -55,7 +55,7 @@
         self._broadcast(ballot_state if is_first else without_body, now, plan)
 
     def _broadcast(self, ballot_state: BallotState, now: int, plan: Plan) -> None:
-        """Send the ballot state to all others, in place of an earlier one of this plan and slot.
+        """Send the ballot state to all others, replacing an earlier one of this plan and slot.
 
         The earlier one may carry the command's body, which is then sent with this one.
         """
--- a/src/willowpost/consensus/replica/barrier.py
+++ b/src/willowpost/consensus/replica/barrier.py
@@ -44,7 +44,7 @@
     return min(index, quorum_index(previous, synced_indexes, thresholds))
 
 
-def holds_both_quorums(node_state: ReplicaState) -> bool:
+def is_synced_by_both_quorums(node_state: ReplicaState) -> bool:
     """Whether n - f of the previous and n - f of the new voters hold the change on disk."""
     tables = node_state.tables
     return all(
@@ -73,5 +73,5 @@
         or tables.slot > tables.epoch_first_slot()
         or any(identity != node_state.member.identity for identity in node_state.ballot_states)
         or is_first_slot_decided(node_state)
-        or holds_both_quorums(node_state)
+        or is_synced_by_both_quorums(node_state)
     )
--- a/src/willowpost/consensus/replica/bootstrap.py
+++ b/src/willowpost/consensus/replica/bootstrap.py
@@ -8,12 +8,13 @@
 from willowpost.common.events import Received, SettingsChanged, Tick
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica.record_types import BootstrapPromiseRecord
-from willowpost.consensus.replica.records import encode_record, founding_record
+from willowpost.consensus.replica.records import bootstrap_voters_record, encode_record
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.state.codec import MEMBER
 from willowpost.wire.messages import CatchupRequest, Hello, Member
 
-# A bootstrapped store without a successful quorum read for so long asks its seeds who votes.
+# A bootstrapped store without a successful quorum read for so long requests the voters from its
+# seeds.
 RECONNECT_AFTER_US = 3 * SECOND
 
 
@@ -46,7 +47,7 @@
     Attributes:
         seeds: addresses of the seeds.
         size: the number of bootstrap members.
-        claims: the stores that say for themselves that they are empty, by identity.
+        claims: the stores that report themselves to be empty, by identity.
         promises: the bootstrap promises received, by identity.
         known_addresses: stores to greet, reported by others; only a store's own claim counts for
             the bootstrap.
@@ -201,7 +202,7 @@
         return address in sorted(set(self.seeds))[: self.size]
 
     def _add_claim(self, member: Member) -> None:
-        """Add a store's own claim, in place of an earlier one for the same address."""
+        """Add a store's own claim; it replaces an earlier one for the same address."""
         own_identity = self.node_state.member.identity
         self.claims = {
             identity: claim
@@ -219,7 +220,7 @@
         members = tuple(MEMBER.decode(json.loads(member)) for member in promise)
         have_all_promised = all(self.promises.get(member.identity) == promise for member in members)
         if members and have_all_promised:
-            plan.records.append(founding_record(members))
+            plan.records.append(bootstrap_voters_record(members))
             node_state.enter_first_epoch(members)
             plan.log("bootstrap", "fleet bootstrapped", voters=[member.name for member in members])
 
--- a/src/willowpost/consensus/replica/catchup.py
+++ b/src/willowpost/consensus/replica/catchup.py
@@ -141,7 +141,7 @@
             tables = tables_from(text)
         except UnknownFormatError as error:
             plan.log(
-                "catchup", "snapshot of an unknown format refused", peer=source, problem=str(error)
+                "catchup", "snapshot of an unknown format rejected", peer=source, problem=str(error)
             )
             return
         if not self._is_newer(tables.slot):
--- a/src/willowpost/consensus/replica/epoch_discovery.py
+++ b/src/willowpost/consensus/replica/epoch_discovery.py
@@ -21,7 +21,7 @@
         self.requested_at = 0  # µs, own clock
 
     def step(self, event: Any, now: int) -> Plan:
-        """On a ballot state or synced index of a later slot from an unknown store: ask it."""
+        """On a ballot state or synced index of a later slot: request it from an unknown store."""
         plan = Plan()
         match event:
             case Received(source, BallotState(identity=identity, slot=slot)) | Received(
--- a/src/willowpost/consensus/replica/record_types.py
+++ b/src/willowpost/consensus/replica/record_types.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FoundingRecord:
+class BootstrapVotersRecord:
     """The voters of the first epoch."""
 
     voters: tuple[Member, ...]
@@ -114,7 +114,7 @@
 Record = (
     Member
     | BootstrapPromiseRecord
-    | FoundingRecord
+    | BootstrapVotersRecord
     | SnapshotRecord
     | DecisionRecord
     | BallotStateRecord
--- a/src/willowpost/consensus/replica/records.py
+++ b/src/willowpost/consensus/replica/records.py
@@ -13,8 +13,8 @@
     BallotStateRecord,
     BarrierPassedRecord,
     BootstrapPromiseRecord,
+    BootstrapVotersRecord,
     DecisionRecord,
-    FoundingRecord,
     Record,
     RetainedDecisionRecord,
     SnapshotRecord,
@@ -80,7 +80,7 @@
             BootstrapPromiseRecord, {"members": StoredField("members", encode=list, decode=tuple)}
         ),
         RecordKind.FOUND: RecordCodec(
-            FoundingRecord,
+            BootstrapVotersRecord,
             {"voters": StoredField("core", encode=encode_members, decode=decode_members)},
         ),
         RecordKind.SNAPSHOT: RecordCodec(
@@ -134,14 +134,14 @@
     return encode_record(member)
 
 
-def founding_record(voters: tuple[Member, ...]) -> JsonObject:
+def bootstrap_voters_record(voters: tuple[Member, ...]) -> JsonObject:
     """Return the record of the first epoch with its voters."""
-    return encode_record(FoundingRecord(voters))
+    return encode_record(BootstrapVotersRecord(voters))
 
 
-def founding_voters(stored: JsonObject) -> tuple[Member, ...]:
+def bootstrap_voters_of(stored: JsonObject) -> tuple[Member, ...]:
     """Read the voters of the record of the first epoch."""
-    record: FoundingRecord = RECORDS[RecordKind.FOUND].decode(stored)
+    record: BootstrapVotersRecord = RECORDS[RecordKind.FOUND].decode(stored)
     return record.voters
 
 
--- a/src/willowpost/consensus/replica/restoration.py
+++ b/src/willowpost/consensus/replica/restoration.py
@@ -6,8 +6,8 @@
     BallotStateRecord,
     BarrierPassedRecord,
     BootstrapPromiseRecord,
+    BootstrapVotersRecord,
     DecisionRecord,
-    FoundingRecord,
     Record,
     RetainedDecisionRecord,
     SnapshotRecord,
@@ -43,7 +43,7 @@
             pass  # the caller read it to make the state
         case BootstrapPromiseRecord(members):
             node_state.bootstrap_promise = members
-        case FoundingRecord(voters):
+        case BootstrapVotersRecord(voters):
             node_state.enter_first_epoch(voters)
         case SnapshotRecord():
             _restore_snapshot(node_state, record)
--- a/src/willowpost/model/processes.py
+++ b/src/willowpost/model/processes.py
@@ -10,7 +10,11 @@
 from willowpost.common.plan import Plan
 from willowpost.consensus.replica import restoration
 from willowpost.consensus.replica.bootstrap import VoterPolicy
-from willowpost.consensus.replica.records import decision_record, founding_record, identity_record
+from willowpost.consensus.replica.records import (
+    bootstrap_voters_record,
+    decision_record,
+    identity_record,
+)
 from willowpost.consensus.replica.replica_state import ReplicaState
 from willowpost.consensus.thresholds import Thresholds
 from willowpost.model.logical_time import NOW, wall_clock
@@ -117,7 +121,7 @@
 
 def _founded_disk(scope: Scope, machine: Machine) -> list[Record]:
     voters = tuple(member_of(each) for each in voters_of(scope))
-    records = [identity_record(member_of(machine)), founding_record(voters)]
+    records = [identity_record(member_of(machine)), bootstrap_voters_record(voters)]
     records += [decision_record(decision) for decision in prefix_decisions(scope)]
     return records
 
--- a/src/willowpost/model/protections.py
+++ b/src/willowpost/model/protections.py
@@ -148,12 +148,14 @@
         Protection(
             "barrier-over-new-voters",
             "replaced-late",
-            replacements=(Replacement(barrier, "holds_both_quorums", _holds_previous_quorum),),
+            replacements=(
+                Replacement(barrier, "is_synced_by_both_quorums", _holds_previous_quorum),
+            ),
         ),
         Protection(
             "barrier-over-former-voters",
             "unheard",
-            replacements=(Replacement(barrier, "holds_both_quorums", _holds_new_quorum),),
+            replacements=(Replacement(barrier, "is_synced_by_both_quorums", _holds_new_quorum),),
         ),
         Protection("new-identity", "wiped", Switches(reuse_identity=True)),
         Protection(
--- a/src/willowpost/node/follower.py
+++ b/src/willowpost/node/follower.py
@@ -167,7 +167,7 @@
         try:
             tables = tables_from(text)
         except UnknownFormatError as error:
-            plan.log("follower", "snapshot of an unknown format rejected", error=str(error))
+            plan.log("follower", "snapshot of an unknown format rejected", problem=str(error))
             return False
         if not self._is_newer(tables.slot):
             return False
--- a/src/willowpost/node/join.py
+++ b/src/willowpost/node/join.py
@@ -16,7 +16,7 @@
 
 
 class FleetJoin:
-    """Joins the log, under one incarnation for the process's whole run.
+    """Joins the log, under one incarnation until the process ends.
 
     Whether the daemon is lost is decided by the log alone. Nothing is sent once `is_leaving` is
     set.
--- a/src/willowpost/node/node_state.py
+++ b/src/willowpost/node/node_state.py
@@ -72,7 +72,7 @@
 
         They may for LEASE_US after `fresh_as_of`, and up to `max_stale_serving` after it while no
         quorum is within reach. A daemon that is in contact with a quorum is bound by what the log
-        accepted since, however late it hears of it, and knows that its tables may lack it.
+        accepted since, however late it learns of it, and knows that its tables may lack it.
 
         For roles that the log assigns, see holds_ownership_lease().
         """
--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -20,7 +20,7 @@
 class QuorumRead:
     """Requests from all voters the slot that they have reached.
 
-    `fresh_as_of` becomes the time of the request only if n - f voters of the tables, asked under
+    `fresh_as_of` becomes the time of the request only if n - f voters of the tables, queried under
     one epoch, all named a slot that the tables have reached. What was accepted before is on n - f
     disks of the voters then, or behind a replacement that the barrier of a new epoch put on n - f
     disks of the former ones, so one of the voters asked would have named it (rabia.md, exception
--- a/src/willowpost/proxy/admission/admission_tokens.py
+++ b/src/willowpost/proxy/admission/admission_tokens.py
@@ -125,7 +125,7 @@
 
     Args:
         node_state: The proxy's shared state.
-        owner: Tells which services this proxy owns.
+        owner: Knows which services this proxy owns.
     """
 
     def __init__(self, node_state: ProxyState, owner: QuotaShareOwner) -> None:
--- a/src/willowpost/proxy/admission/slow_start.py
+++ b/src/willowpost/proxy/admission/slow_start.py
@@ -54,7 +54,7 @@
         self.node_state = node_state
         self.buckets: dict[str, TokenBucket] = {}  # by origin
         self.ranks: dict[tuple[str, tuple[str, ...]], int] = {}  # by origin and senders
-        # Origin to when its process was seen to end; it warms up whatever the log says.
+        # Origin to when its process was seen to end; it warms up whatever its state in the log.
         self.suspected_at: dict[str, int] = {}
 
     def suspect_restart(self, origin_name: str, now: int) -> None:
--- a/src/willowpost/proxy/client/response_builder.py
+++ b/src/willowpost/proxy/client/response_builder.py
@@ -23,12 +23,12 @@
     """Builds responses, and counts them by status and reason.
 
     Args:
-        words: Names of the headers shared with clients and origins.
+        header_names: The names of the headers shared with clients and origins.
         stats: Counters by name.
     """
 
-    def __init__(self, words: HeaderNames, stats: Counter[str]) -> None:
-        self._words, self._stats = words, stats
+    def __init__(self, header_names: HeaderNames, stats: Counter[str]) -> None:
+        self._header_names, self._stats = header_names, stats
 
     def build(self, request: Request, outcome: Outcome) -> ClientResponse:
         """Returns the response of an outcome; a 304 if the client has that version.
@@ -67,7 +67,7 @@
         body = json.dumps(value).encode() + b"\n"
         headers = [("content-type", "application/json"), ("cache-control", "no-store")]
         if request is not None and request.request_id is not None:
-            headers.append((self._words.request_id, request.request_id))
+            headers.append((self._header_names.request_id, request.request_id))
         if rejection.retry_after_seconds:
             headers.append(("retry-after", f"{rejection.retry_after_seconds:g}"))
         if states_outcome:
@@ -80,13 +80,13 @@
 
     def _passed_headers(self, answer: OriginResponse, status: int) -> list[Header]:
         """Returns the origin's headers that reach the client."""
-        replaced = ("content-length", "age", self._words.request_id)
+        replaced = ("content-length", "age", self._header_names.request_id)
         # a seal is of the status that the origin gave
         is_sealed_status = status == answer.status
         return [
             (name, value)
             for name, value in answer.headers
-            if name not in replaced and (name != self._words.seal or is_sealed_status)
+            if name not in replaced and (name != self._header_names.seal or is_sealed_status)
         ]
 
     def _own_headers(self, request: Request, outcome: Outcome) -> list[Header]:
@@ -94,7 +94,7 @@
         headers: list[Header] = []
         age_seconds = format_age(outcome.age)
         if request.request_id is not None:
-            headers.append((self._words.request_id, request.request_id))
+            headers.append((self._header_names.request_id, request.request_id))
         if age_seconds is not None:
             headers.append(("age", age_seconds))
         if request.is_from_edge:
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -65,11 +65,15 @@
     Args:
         settings: The process's settings.
         logger: Where log lines go.
-        words: Names of the headers shared with clients and origins; None for the defaults.
+        header_names: The names of the headers shared with clients and origins; None for the
+            defaults.
     """
 
     def __init__(
-        self, settings: ProcessSettings, logger: StructuredLogger, words: HeaderNames | None = None
+        self,
+        settings: ProcessSettings,
+        logger: StructuredLogger,
+        header_names: HeaderNames | None = None,
     ) -> None:
         self.logger = logger
         self.runner = Runner(settings.address, logger)
@@ -82,7 +86,7 @@
         self.origin_selector = OriginSelector(
             settings.zone, reports=lambda: self.node_state.reports, regions=settings.regions
         )
-        self.front = self._build_front(settings, words or HeaderNames())
+        self.front = self._build_front(settings, header_names or HeaderNames())
         self.node.shutdown.timeouts = settings.shutdown_timeouts()
         self.node.shutdown.in_flight = lambda: self.front.in_flight
         self.webs = self._build_servers(settings)
@@ -118,7 +122,7 @@
         node.node_state.max_stale_serving = settings.serve_on_ms * MILLISECOND
         return node
 
-    def _build_attempts(self, settings: ProcessSettings, words: HeaderNames) -> Attempts:
+    def _build_attempts(self, settings: ProcessSettings, header_names: HeaderNames) -> Attempts:
         budget = RetryBudget(
             self.node_state.proxy_count,
             self.clock.now(),
@@ -136,17 +140,19 @@
                 origin_selector=self.origin_selector,
                 io=OriginConnections(self.pool, self.runner.request),
                 stats=self.stats,
-                header_names=words,
+                header_names=header_names,
                 regions=settings.regions or {},
                 outgoing=self.outgoing,
             )
         )
 
-    def _build_front(self, settings: ProcessSettings, words: HeaderNames) -> Frontend:
-        attempts = self._build_attempts(settings, words)
+    def _build_front(self, settings: ProcessSettings, header_names: HeaderNames) -> Frontend:
+        attempts = self._build_attempts(settings, header_names)
         executor = PlanExecutor(self.node_state, self.node.cache, self.clock, attempts, self.stats)
         planner = RequestPlanner(self.node_state, self.node.cache, self.clock, settings.regions)
-        options = FrontendOptions(words, settings.health is None, LinkPacer(settings.link_mbps))
+        options = FrontendOptions(
+            header_names, settings.health is None, LinkPacer(settings.link_mbps)
+        )
         return Frontend(
             self.node_state, self.clock, planner, executor, self.stats, self.logger, options
         )
--- a/src/willowpost/proxy/frontend.py
+++ b/src/willowpost/proxy/frontend.py
@@ -39,13 +39,13 @@
     """How a proxy speaks to its clients.
 
     Attributes:
-        words: Names of the headers shared with clients and origins.
+        header_names: The names of the headers shared with clients and origins.
         serves_status_paths: Whether the health and statistics paths are served on the clients'
             port.
         pacer: Paces large responses by the machine's link.
     """
 
-    words: HeaderNames = field(default_factory=HeaderNames)
+    header_names: HeaderNames = field(default_factory=HeaderNames)
     serves_status_paths: bool = True
     pacer: LinkPacer = field(default_factory=LinkPacer)
 
@@ -89,8 +89,8 @@
         self.pacer = options.pacer
         self.connections: set[ClientConnection] = set()
         self._serves_status_paths = options.serves_status_paths
-        self._responses = ResponseBuilder(options.words, stats)
-        self._parser = RequestParser(node_state, options.words)
+        self._responses = ResponseBuilder(options.header_names, stats)
+        self._parser = RequestParser(node_state, options.header_names)
         self._status_page = ProxyStatusPage(
             node_state, clock, stats, executor.attempts.resources.outgoing
         )
@@ -174,7 +174,7 @@
             return self._carry_out(request, head, body)
         except RequestRejectedError as rejection:
             return self._responses.build_rejection(rejection, states_outcome, request)
-        # The last line of a request's task: whatever fails, the client gets a final response.
+        # The last handler of a request's task: whatever fails, the client gets a final response.
         except Exception as problem:
             self.logger.log("proxy", "request failed", level="error", problem=repr(problem))
             failure = RequestRejectedError(500, "broke down", 1, "unknown")
--- a/src/willowpost/proxy/node.py
+++ b/src/willowpost/proxy/node.py
@@ -4,8 +4,8 @@
 """
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Protocol
 
+from willowpost.common.controller import Controller
 from willowpost.common.plan import Plan
 from willowpost.node.command_client import CommandClient
 from willowpost.node.failure_detector import FailureDetector
@@ -24,13 +24,6 @@
 from willowpost.state.tables import Tables
 
 
-class Controller(Protocol):
-    """A part of a control state machine."""
-
-    def step(self, event: object, now: int) -> Plan:
-        """Takes an event and returns what is to be done; `now` is in µs."""
-
-
 class ProxyNode:
     """A proxy's control state machine, made of controllers.
 
--- a/src/willowpost/proxy/origin/load_reports.py
+++ b/src/willowpost/proxy/origin/load_reports.py
@@ -29,7 +29,7 @@
 
 
 class WarmUpReport(NamedTuple):
-    """What an origin's last heartbeat says of its warming up.
+    """What an origin's last heartbeat reports of its warming up.
 
     Attributes:
         received_at: When the heartbeat was received, by this process's clock, in µs.
--- a/src/willowpost/proxy/request_parser.py
+++ b/src/willowpost/proxy/request_parser.py
@@ -29,11 +29,11 @@
 
     Args:
         node_state: The proxy's shared state.
-        words: Names of the headers shared with clients and origins.
+        header_names: The names of the headers shared with clients and origins.
     """
 
-    def __init__(self, node_state: ProxyState, words: HeaderNames) -> None:
-        self._node_state, self._words = node_state, words
+    def __init__(self, node_state: ProxyState, header_names: HeaderNames) -> None:
+        self._node_state, self._header_names = node_state, header_names
 
     def parse(
         self, head: ClientRequestHead, received_at: int, lifetime: RequestLifetime
@@ -57,7 +57,7 @@
             headers,
             is_from_edge,
             is_from_edge and "wp-extra" in headers,
-            headers.get(self._words.request_id),
+            headers.get(self._header_names.request_id),
             self._time_left(headers),
             received_at,
             lifetime,
@@ -65,7 +65,7 @@
 
     def _time_left(self, headers: dict[str, str]) -> int | None:
         """Returns how long the client waits, in µs, or None if it did not say."""
-        milliseconds = headers.get(self._words.remaining_time, "")
+        milliseconds = headers.get(self._header_names.remaining_time, "")
         is_number = milliseconds.isascii() and milliseconds.isdigit()
         return int(milliseconds) * MILLISECOND if is_number else None
 
--- a/src/willowpost/proxy/routing/headers.py
+++ b/src/willowpost/proxy/routing/headers.py
@@ -46,7 +46,7 @@
         cached_entry: A stored response to be revalidated (RFC 9111, 4.3), or None.
         remaining_us: How long the caller still waits, in µs, or None if it did not say.
         incarnation: The origin's incarnation that the request is meant for, or None.
-        fetches_complete: Whether to ask for the complete object, whatever range the caller wants.
+        fetches_complete: Whether to request the complete object, whatever range the caller wants.
     """
 
     cached_entry: CacheEntry | None = None
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShieldHop:
-    """What an edge tells a shield about a request.
+    """What an edge sends a shield about a request.
 
     Attributes:
         edge_id: The edge's id.
@@ -130,7 +130,7 @@
         request: The caller's request.
         names: Header names shared with callers.
         options: What the request asks for besides.
-        hop: What the edge tells the shield.
+        hop: What the edge sends the shield about it.
     """
     replaced = {names.request_id, names.remaining_time}
     return [
--- a/src/willowpost/proxy/routing/planner.py
+++ b/src/willowpost/proxy/routing/planner.py
@@ -98,7 +98,7 @@
     def _fetches_complete(
         self, request: Request, route: Route, kind: str, byte_range: ByteRange | None
     ) -> bool:
-        """Whether to ask for the complete object, whatever range the caller wants."""
+        """Whether to request the complete object, whatever range the caller wants."""
         return (
             route.kind == CACHED
             and kind == CACHED
@@ -108,7 +108,7 @@
         )
 
     def _deny(self, status: int, reason: str, now: int) -> RejectPlan:
-        """Denies the request if the table that says so is current; else asks to come back.
+        """Denies the request if the tables are current; else has the client retry soon.
 
         An older table may lack a route that was accepted since.
         """
--- a/src/willowpost/proxy/routing/request.py
+++ b/src/willowpost/proxy/routing/request.py
@@ -118,7 +118,7 @@
         cached_entry: A stale stored response to be revalidated, or None.
         attempt_limit: How many attempts may be made.
         service: The service to send it to.
-        fetches_complete: Whether to ask for the complete object, whatever range the caller wants.
+        fetches_complete: Whether to request the complete object, whatever range the caller wants.
         byte_range: The range to cut from the complete response, or None.
     """
 
--- a/src/willowpost/proxy/routing/response_check.py
+++ b/src/willowpost/proxy/routing/response_check.py
@@ -23,7 +23,7 @@
         """Accepts a response of the right origin to a request that it may have run.
 
         Raises:
-            ExchangeError: It comes from another process, is not sealed, or says that nothing ran.
+            ExchangeError: It comes from another process, is not sealed, or states that nothing ran.
         """
         if response.status == MISDIRECTED_STATUS:
             raise ExchangeError(
--- a/src/willowpost/proxy/routing/snapshot.py
+++ b/src/willowpost/proxy/routing/snapshot.py
@@ -33,7 +33,7 @@
         instance_check: How to check its identity on a fresh connection; None for an origin that
             did not opt in.
         token: Names its incarnation; None if it gave none.
-        slots: How many requests it works on at once; 0 if it has not said.
+        slots: How many requests it works on at once; 0 if it has not reported it.
     """
 
     name: str
--- a/src/willowpost/registry/api/origins.py
+++ b/src/willowpost/registry/api/origins.py
@@ -24,7 +24,7 @@
 class OriginRoutes:
     """The calls of origins.
 
-    A heartbeat of a known incarnation is answered without the log. One that says that the
+    A heartbeat of a known incarnation is answered without the log. One that reports that the
     incarnation drains is acknowledged only once the log has accepted that. Repeated calls about an
     incarnation count, and are answered, as one.
     """
--- a/src/willowpost/registry/api/responses.py
+++ b/src/willowpost/registry/api/responses.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from willowpost.shell.validation_issue import ValidationIssue as PrintedIssue
+from willowpost.shell.validation_issue import PrintedIssue
 from willowpost.shell.web import Response, reject
 
 
--- a/src/willowpost/registry/origin_health.py
+++ b/src/willowpost/registry/origin_health.py
@@ -38,7 +38,7 @@
 
     Attributes:
         heartbeat: as it is passed on.
-        reports_warm_up: whether it says if the origin is warming up.
+        reports_warm_up: whether it states if the origin is warming up.
     """
 
     heartbeat: OriginHeartbeat
@@ -61,7 +61,7 @@
 class ChangeReason(StrEnum):
     """Why the state of an origin should change, for the log lines."""
 
-    HEARTBEAT = "heartbeat"  # the origin itself says so
+    HEARTBEAT = "heartbeat"  # the origin reports it
     TIMED_OUT = "heartbeats missing"
     ADDRESS_FREE = "address free"  # nobody sends requests of its former service any more
     SLOW_START_OVER = "slow start over"
@@ -71,8 +71,8 @@
     """Passes heartbeats on and proposes changes of the origins' states to the log.
 
     Only the origin's owner among the live registries proposes for it, except that what a heartbeat
-    says of warming up is proposed by the registry that received it. A heartbeat with a number not
-    above the last one known changes nothing.
+    reports of warming up is proposed by the registry that received it. A heartbeat whose number is
+    not above the last one known changes nothing.
 
     A time-out counts from the latest of: the last heartbeat, the first check of the origin here,
     and the last moment at which this registry was out of touch with the core or not among its live
@@ -140,7 +140,7 @@
             record.failed_health_checks += 1
 
     def _accept_heartbeat(self, received: HeartbeatReceived, now: int, plan: Plan) -> None:
-        """Record and pass on a heartbeat, and propose what it says of warming up."""
+        """Record and pass on a heartbeat, and propose what it reports of warming up."""
         heartbeat = received.heartbeat
         self._record_heartbeat(heartbeat, now)
         for address in self._heartbeat_receivers():
@@ -163,7 +163,7 @@
         ]
 
     def _reported_change(self, heartbeat: OriginHeartbeat, state: OriginState) -> ChangeOriginState:
-        """Return what a heartbeat says, fenced: the log rejects what an older one says.
+        """Return the operation for a heartbeat, fenced: the log rejects that of an older one.
 
         For a warm origin the slot tells which restoring of its zone this registry knew of.
         """
--- a/src/willowpost/registry/origin_records.py
+++ b/src/willowpost/registry/origin_records.py
@@ -21,7 +21,7 @@
             origin was not checked yet.
         state: in which the tables were last seen to have it.
         state_since: when they were first seen to have it in that state.
-        failed_health_checks: since the last sign of life.
+        failed_health_checks: since the last heartbeat or successful check.
         health_checked_at: start of the last health check; None: none was started.
         proposed_at: of the last proposal after a check; None: none was made.
         heartbeat_number: the last one known; 0: none.
--- a/src/willowpost/shell/disk.py
+++ b/src/willowpost/shell/disk.py
@@ -33,10 +33,13 @@
 class Disk:
     """Writes segments; what append() and rotate() were given is synced when they return.
 
-    If append() raises, nothing of it is in a segment that load() would read; if rotate() raises, the
-    new segment is there only if no more than the sync of the folder failed, and is complete then. The
-    newest segment contains all that this store still needs of older ones. An older segment is removed only once the newer one's folder entry is
-    synced; until then a power loss may remove either entry by itself.
+    If append() raises, nothing of it is in a segment that load() would read. If rotate() raises,
+    the new segment is in the folder only if nothing but the sync of the folder has failed; it is
+    complete then.
+
+    The newest segment contains everything that this store still needs of older ones. An older
+    segment is removed only once the newer one's folder entry is synced; until then a power loss may
+    remove either entry by itself.
 
     Syncs block the event loop: the one task that steps the node waits for them in any case, and a
     thread costs more than it saves (docs/design/rabia.md).
--- a/src/willowpost/shell/field_reader.py
+++ b/src/willowpost/shell/field_reader.py
@@ -3,7 +3,7 @@
 import re
 from typing import Any, TypeVar
 
-from willowpost.shell.validation_issue import ValidationIssue
+from willowpost.shell.validation_issue import PrintedIssue
 
 ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
 MAX_OCTET = 255
@@ -19,7 +19,7 @@
         issues: to which each issue is added.
     """
 
-    def __init__(self, values: dict[str, Any], issues: list[ValidationIssue]) -> None:
+    def __init__(self, values: dict[str, Any], issues: list[PrintedIssue]) -> None:
         self.values, self.issues = values, issues
 
     def add_issue(self, path: str, message: str) -> None:
--- a/src/willowpost/shell/mesh.py
+++ b/src/willowpost/shell/mesh.py
@@ -176,7 +176,7 @@
     """Connect to a peer; None if that fails."""
     connection = None
     try:
-        # create_connection asks a resolver, in a thread.
+        # socket.create_connection would call a resolver, in a thread.
         connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         connection.settimeout(CONNECT_TIMEOUT_SECONDS)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS)
--- a/src/willowpost/shell/reload.py
+++ b/src/willowpost/shell/reload.py
@@ -7,7 +7,7 @@
 
 from willowpost.shell.settings import DaemonSettings, SettingsReader
 from willowpost.shell.structured_log import StructuredLogger
-from willowpost.shell.validation_issue import ValidationIssue
+from willowpost.shell.validation_issue import PrintedIssue
 
 LIVE_SETTINGS = ("seeds", "level", "pace")  # need no restart
 
@@ -32,7 +32,7 @@
         self.path, self.flags, self.required = path, flags, required
         self.settings, self.logger = settings, logger
 
-    def reload(self) -> Result[DaemonSettings, list[ValidationIssue]]:
+    def reload(self) -> Result[DaemonSettings, list[PrintedIssue]]:
         """Read the settings; returns those now in use, or the issues."""
         read = SettingsReader().read(self.path, self.flags, self.required)
         if read.is_err():
--- a/src/willowpost/shell/router.py
+++ b/src/willowpost/shell/router.py
@@ -108,7 +108,7 @@
             return invalid(413, "/", "body too large")
         except (EOFError, ValueError, OSError):
             return invalid(400, "/", "malformed request")
-        # The request's last line: a bug must not look like a success, nor keep the caller waiting.
+        # The last handler: a bug must not look like a success, nor keep the caller waiting.
         except Exception as problem:
             self.logger.log("web", "request broke down", level="error", problem=repr(problem))
             return reject(500, "broke down")
--- a/src/willowpost/shell/runner.py
+++ b/src/willowpost/shell/runner.py
@@ -28,7 +28,7 @@
     """What a runner steps: a process's controllers behind one step().
 
     Attributes:
-        shutdown: its `GracefulShutdown`, or a store's `StoreShutdown`; `stage` is the current stage.
+        shutdown: its `GracefulShutdown`, or a store's `StoreShutdown`.
     """
 
     shutdown: Any
@@ -40,7 +40,7 @@
 class Runner:
     """Steps a node in one task; all others reach it by events in its inbox.
 
-    If that task fails (a bug, or a disk error that `RetryingDisk` does not wait out), the process ends
+    If that task fails (a bug, or a disk error that `RetryingDisk` does not retry), the process ends
     at once.
 
     Args:
--- a/src/willowpost/shell/settings.py
+++ b/src/willowpost/shell/settings.py
@@ -15,7 +15,7 @@
 from willowpost.consensus.replica.tuning import ReplicaTuning
 from willowpost.shell.process_settings import ProcessSettings
 from willowpost.shell.validation import validation_issues
-from willowpost.shell.validation_issue import ValidationIssue
+from willowpost.shell.validation_issue import PrintedIssue
 
 Address = Annotated[str, Field(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
@@ -125,7 +125,7 @@
         raise ValueError(str(problem)) from problem
 
 
-def _read_file(path: str) -> Result[dict[str, Any], list[ValidationIssue]]:
+def _read_file(path: str) -> Result[dict[str, Any], list[PrintedIssue]]:
     try:
         with open(path, encoding="utf-8") as file:
             values = _parse(path, file.read())
@@ -141,7 +141,7 @@
 
     def read(
         self, path: str | None, flags: Mapping[str, Any], required: tuple[str, ...] = ()
-    ) -> Result[DaemonSettings, list[ValidationIssue]]:
+    ) -> Result[DaemonSettings, list[PrintedIssue]]:
         """Return the checked settings, or the issues.
 
         Args:
@@ -157,7 +157,7 @@
             settings = DaemonSettings(**{**from_file.unwrap(), **given_flags})
         except ValidationError as error:
             return Err(validation_issues(error))
-        missing: list[ValidationIssue] = [
+        missing: list[PrintedIssue] = [
             {"place": name, "finding": "needed by this program"}
             for name in required
             if getattr(settings, name) is None
--- a/src/willowpost/shell/tcp_client.py
+++ b/src/willowpost/shell/tcp_client.py
@@ -1,4 +1,4 @@
-"""Connections to numeric addresses, without a resolver: gevent asks one in a thread."""
+"""Connections to numeric addresses, without a resolver: gevent calls one in a thread."""
 
 from gevent import socket
 
--- a/src/willowpost/shell/validation_issue.py
+++ b/src/willowpost/shell/validation_issue.py
@@ -3,7 +3,7 @@
 from typing import TypedDict
 
 
-class ValidationIssue(TypedDict):
+class PrintedIssue(TypedDict):
     """One thing that is wrong; the keys are part of the programs' output and of /v1 bodies.
 
     Attributes:
--- a/src/willowpost/state/apply/origin_registration.py
+++ b/src/willowpost/state/apply/origin_registration.py
@@ -18,7 +18,7 @@
 
     An address that last served another service waits until the log lets it enter, unless the
     service is `named` (its origins check the incarnation named on a request). An incarnation with a
-    token registers once, however often it asks. A registration with a `known_slot` changes nothing
+    token registers once, however often it tries. A registration with a `known_slot` changes nothing
     if the address was registered in that slot or later.
 
     Args:
--- a/src/willowpost/state/codec/results.py
+++ b/src/willowpost/state/codec/results.py
@@ -10,7 +10,7 @@
 
 
 class _ResultCodec(Generic[T]):
-    """A `RecordCodec` whose object also says that the operation was accepted."""
+    """A `RecordCodec` whose object also states that the operation was accepted."""
 
     def __init__(self, kind: type[T], **names: str):
         optional = {field.name for field in fields(kind) if field.default is None}  # type: ignore[arg-type]
--- a/src/willowpost/state/configuration_changes.py
+++ b/src/willowpost/state/configuration_changes.py
@@ -32,8 +32,8 @@
         key: Digest of the sender's idempotency key.
         base: Digest of the configuration that `tree_delta` and `source_delta` start from; None if
             the proposal carries its tree and source in full.
-        tree_delta: As `delta.tree_delta` makes it, in place of the tree.
-        source_delta: As `delta.text_delta` makes it, in place of the source.
+        tree_delta: As `delta.tree_delta` makes it; replaces the tree.
+        source_delta: As `delta.text_delta` makes it; replaces the source.
         known_version: The version that the proposing registry knew. A change without a number and
             without `if_match` is superseded if another version is in force by then.
     """
@@ -88,7 +88,7 @@
     key: str | None = None
 
     def is_of(self, proposal: ConfigurationProposal) -> bool:
-        """Whether the proposal asks for the same as this change did."""
+        """Whether the proposal requests the same as this change did."""
         if self.patch is not None or proposal.patch is not None:
             return self.patch == proposal.patch
         return self.content == proposal.content
@@ -124,7 +124,7 @@
         return self._newest(lambda change: change.version == version)
 
     def repeated(self, proposal: ConfigurationProposal) -> AcceptedChange | None:
-        """Return the change that asked for the same, based on the same version, or None."""
+        """Return the change that requested the same, based on the same version, or None."""
         return self._newest(
             lambda change: change.based_on == proposal.if_match and change.is_of(proposal)
         )
--- a/src/willowpost/state/operations.py
+++ b/src/willowpost/state/operations.py
@@ -56,7 +56,7 @@
 
     Attributes:
         replaced: identity of the voter.
-        learner: who votes in its place.
+        learner: the voter that replaces it.
     """
 
     replaced: str
@@ -99,7 +99,7 @@
         slots: how many requests it works on at once; None: not reported.
         heartbeat_number: of the heartbeat that registers it; 0: none.
         is_draining: whether it takes no new requests.
-        is_warming_up: whether it says that it warms up; None: it never says so.
+        is_warming_up: whether it reports that it warms up; None: it does not report it.
         known_slot: that its registry knew; rejected if the address changed in it or later. None:
             accepted in any case.
     """
@@ -125,9 +125,9 @@
         state: an `OriginState` value.
         origin: its name in the tables; None: `token` names it.
         token: names the incarnation of its process.
-        heartbeat_number: of the heartbeat that says so; None: no heartbeat does.
+        heartbeat_number: of the heartbeat that reports it; None: no heartbeat does.
         known_slot: that the registry knew; rejected if the origin began to warm up in it or later.
-        registry: id of the registry that says so; rejected if that is not up. None: not checked.
+        registry: id of the proposing registry; rejected if that is not up. None: not checked.
         reports_warm_up: whether the origin's heartbeats will go on saying if it warms up.
         timed_out: for GONE: its heartbeats stopped, and its incarnation may return.
     """
--- a/src/willowpost/state/outcomes.py
+++ b/src/willowpost/state/outcomes.py
@@ -1,4 +1,4 @@
-"""What the log says of a submitted command, and its form in `CommandAccepted.results`."""
+"""The outcome of a submitted command in the log, and its form in `CommandAccepted.results`."""
 
 import json
 from dataclasses import dataclass
--- a/src/willowpost/state/results.py
+++ b/src/willowpost/state/results.py
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected(Result):
-    """The operation changed nothing, except where the reason says so.
+    """The operation changed nothing, except where the reason states otherwise.
 
     Attributes:
         reason: a `Reason`, or a text of one of the functions above; None: not reported.
@@ -140,5 +140,5 @@
 
     @property
     def is_accepted(self) -> bool:
-        """Whether the later build says that the operation took effect."""
+        """Whether the operation took effect by the later build's result."""
         return bool(self.stored.get("ok"))
--- a/src/willowpost/state/snapshot_transfer.py
+++ b/src/willowpost/state/snapshot_transfer.py
@@ -10,7 +10,7 @@
 
 CHUNK_BYTES = 64 * 1024  # less than a link of 600 KB/s passes between two polls
 RETENTION_US = 3 * SECOND  # a text without a request for so long is dropped
-STALLED_AFTER_US = 500 * MILLISECOND  # without a chunk for so long, another source is asked
+STALLED_AFTER_US = 500 * MILLISECOND  # without a chunk for so long, another source is tried
 # and after so long its snapshot of another slot is begun; between the two, a link with a round trip
 # above STALLED_AFTER_US still ends a transfer
 ABANDONED_AFTER_US = 1_500 * MILLISECOND
--- a/src/willowpost/store/graceful_shutdown.py
+++ b/src/willowpost/store/graceful_shutdown.py
@@ -1,11 +1,11 @@
 """A store's planned end: hand its vote over, or make sure that other voters have its data.
 
-The platform says only that the process is to end. If a learner may replace the voter, the machine
-is likely to be removed together with its disk: the store reports that it is draining, the learner
-replaces it by a decision of the log, and the store goes on serving as a voter, then as a source,
-until the new epoch has begun, so that n - f of the new voters have everything. Without such a
-learner it is a restart: the store stays a voter and ends as soon as n - f other voters have what
-it has, or after a short time.
+A signal tells the store only that its process is to end, not whether its disk stays. If a learner
+may replace the voter, the machine is likely to be removed together with its disk: the store reports
+that it is draining, the learner replaces it by a decision of the log, and the store goes on serving
+as a voter, then as a source, until the new epoch has begun, so that n - f of the new voters have
+everything. Without such a learner it is a restart: the store stays a voter and ends as soon as
+n - f other voters have what it has, or after a short time.
 """
 
 from collections.abc import Mapping
--- a/src/willowpost/toolbox/folder.py
+++ b/src/willowpost/toolbox/folder.py
@@ -9,9 +9,9 @@
 from willowpost.common.formats import UnknownFormatError
 from willowpost.consensus.replica.records import (
     RecordKind,
+    bootstrap_voters_of,
     command_from,
     decision_from,
-    founding_voters,
 )
 from willowpost.shell.disk import TEMPORARY_SUFFIX, segment_names
 from willowpost.shell.segment_format import DiskDamagedError, parse_segment
@@ -123,7 +123,7 @@
             if slot is not None and tables.epoch and tables.slot >= slot:
                 break
             if record["k"] == RecordKind.FOUND:
-                tables = Tables(epoch=1, voters=founding_voters(record))
+                tables = Tables(epoch=1, voters=bootstrap_voters_of(record))
             elif record["k"] == RecordKind.SNAPSHOT:
                 tables = tables_from(record["text"])
             elif record["k"] == RecordKind.BALLOT_STATE:
--- a/tests/consensus/test_records.py
+++ b/tests/consensus/test_records.py
@@ -8,8 +8,8 @@
     BallotStateRecord,
     BarrierPassedRecord,
     BootstrapPromiseRecord,
+    BootstrapVotersRecord,
     DecisionRecord,
-    FoundingRecord,
     MissingCommandError,
     RetainedDecisionRecord,
     SnapshotRecord,
@@ -24,7 +24,7 @@
 FORMS = (
     (MEMBER, {"k": "identity", **STORED_MEMBER}),
     (BootstrapPromiseRecord(("x", "y")), {"k": "bootstrap_promise", "members": ["x", "y"]}),
-    (FoundingRecord((MEMBER,)), {"k": "found", "core": [STORED_MEMBER]}),
+    (BootstrapVotersRecord((MEMBER,)), {"k": "found", "core": [STORED_MEMBER]}),
     (SnapshotRecord("{}", 3, 2), {"k": "snapshot", "text": "{}", "log_floor": 3, "passed": 2}),
     (
         DecisionRecord(6, "r1/3/4", COMMAND),
--- a/tests/consensus/test_voter_replacement.py
+++ b/tests/consensus/test_voter_replacement.py
@@ -53,7 +53,7 @@
 
     def test_as_it_was_the_epoch_opens_and_the_next_loss_takes_what_was_accepted(self):
         world = self.world
-        with patch.object(barrier, "holds_both_quorums", holds_previous_quorum):
+        with patch.object(barrier, "is_synced_by_both_quorums", holds_previous_quorum):
             self.assertTrue(world.until(lambda: world.state("s0").passed_epoch == 2, seconds(1)))
             world.take_away("s0", "s2")
             world.heal()
--- a/tests/node/test_stale_incarnation_answers.py
+++ b/tests/node/test_stale_incarnation_answers.py
@@ -7,7 +7,7 @@
 from willowpost.common.clock import MILLISECOND, SECOND
 from willowpost.common.events import Received, SubmitOperations, Tick
 from willowpost.common.nonce import NonceSequence
-from willowpost.consensus.replica.records import founding_record
+from willowpost.consensus.replica.records import bootstrap_voters_record
 from willowpost.node.command_client import CommandClient
 from willowpost.node.failure_detector import FailureDetector
 from willowpost.node.follower import Follower
@@ -39,7 +39,7 @@
 )
 
 VOTERS = tuple(Member(name, name, name, f"{name}:1") for name in ("A", "B", "C"))
-FOUND = [founding_record(VOTERS)]
+FOUND = [bootstrap_voters_record(VOTERS)]
 FIRST, SECOND_INCARNATION = 1_000_000, 9_000_000
 
 
