--- a/src/willowpost/toolbox/folder.py
+++ b/src/willowpost/toolbox/folder.py
@@ -21,20 +21,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """Something wrong in a folder, with its place."""
+    """Something wrong in a folder; `place` is the file and the record or byte."""
 
     place: str
     finding: str
 
 
 class FolderChecker:
-    """Invariant: reports everything it finds, each with file and record.
+    """Checks a folder, and reports everything that it finds.
 
     No finding means a store would start from it.
     """
 
     def check(self, folder: str) -> tuple[list[Finding], dict[str, Any]]:
-        """All findings, and what is known of the folder."""
+        """Return all findings, and facts of the folder by name."""
         findings: list[Finding] = []
         facts: dict[str, Any] = {}
         if not os.path.isdir(folder):
@@ -112,10 +112,14 @@
 
 
 class LogReplay:
-    """Invariant: run() gives the tables as they were when `slot` was the next slot to decide."""
+    """Replays the log of a folder: run() returns the tables at a slot."""
 
     def run(self, folder: str, slot: int | None = None) -> Tables:
-        """The tables before `slot`, or at the end; ValueError for a slot that is not held."""
+        """Return the tables before `slot` is applied; None: after the last decision.
+
+        Raises:
+            ValueError: the folder does not have that slot.
+        """
         names = segment_names(folder)
         records, _ = parse_segment(Path(folder, names[-1]).read_bytes())
         tables, proposed = Tables(), None
--- a/src/willowpost/toolbox/planner.py
+++ b/src/willowpost/toolbox/planner.py
@@ -1,4 +1,4 @@
-"""What a configuration or an emptied zone would change, told before it is sent. Changes nothing."""
+"""What a new configuration or the evacuation of a zone would change; nothing is submitted."""
 
 from dataclasses import asdict
 from typing import Any
@@ -16,13 +16,13 @@
 
 
 def _changed(before: Route, after: Route) -> dict[str, list[Any]]:
-    """What differs of a route; an absent kind and an empty split are told as null and []."""
+    """What differs of a route; an absent kind and an empty split are given as None and ()."""
     old, new = asdict(before), asdict(after)
     return {name: [old[name], new[name]] for name in new if old[name] != new[name]}
 
 
 class ConfigurationPlanner:
-    """Invariant: the plan is worked out from the tables and the checked tree alone."""
+    """Plans a change of the configuration, from the tables and the checked tree alone."""
 
     def plan(self, tables: Tables, tree: dict[str, Any]) -> dict[str, Any]:
         """Routes and services that would be added, removed and changed, with warnings."""
@@ -62,7 +62,7 @@
 
 
 class ZonePlanner:
-    """Invariant: what is left is worked out by the very code that makes a proxy's snapshot."""
+    """Plans the evacuation of a zone, by the same code that makes a proxy's snapshot."""
 
     def plan(self, tables: Tables, zone: str) -> dict[str, Any]:
         """What would be left of each service, with warnings."""
