--- a/src/willowpost/consensus/replica/compaction.py
+++ b/src/willowpost/consensus/replica/compaction.py
@@ -12,7 +12,7 @@
 class Compaction:
     """Begins a new disk segment when the current one has grown enough (Rabia, section 3.4).
 
-    No decision is dropped before n - f voters hold it synced. The limits of a segment and of what
+    No decision is dropped before n - f voters have synced it. The limits of a segment and of what
     it retains for replicas that are behind are in `ReplicaTuning`; a segment may exceed its limit
     by what one slot adds.
     """
--- a/src/willowpost/proxy/admission/quota_share_client.py
+++ b/src/willowpost/proxy/admission/quota_share_client.py
@@ -61,7 +61,7 @@
         return plan
 
     def _store_grant(self, response: QuotaShareResponse) -> None:
-        """Stores a grant of the service that was asked about, by its owner of this moment."""
+        """Stores a grant of a requested share, if it comes from the present owner."""
         request, service_name = self.pending.pop(response.nonce), response.service
         if service_name != request.service_name:
             return
--- a/src/willowpost/proxy/cache/store.py
+++ b/src/willowpost/proxy/cache/store.py
@@ -54,7 +54,7 @@
         return next((entry for entry in variants if _may_answer(entry, request_headers)), None)
 
     def store(self, entry: CacheEntry) -> bool:
-        """Stores an entry in place of the same variant, and evicts others to make room.
+        """Stores an entry, which replaces that of the same variant, and evicts others to make room.
 
         Returns:
             False, with nothing stored, if a purge has removed it since its fetch began or if it is
--- a/src/willowpost/proxy/client/request_head.py
+++ b/src/willowpost/proxy/client/request_head.py
@@ -27,7 +27,7 @@
         headers: Lower-case name to value; repeated headers are joined with commas.
         length: The body's Content-Length in bytes, or None.
         is_chunked: Whether the body comes in chunks.
-        accepts_interim: Whether its sender takes interim responses (1xx), as HTTP/1.1 says.
+        accepts_interim: Whether its sender takes interim responses (1xx), as HTTP/1.1 clients must.
         closes_connection: Whether the connection ends with the response.
 
     Raises:
--- a/src/willowpost/proxy/client/response_builder.py
+++ b/src/willowpost/proxy/client/response_builder.py
@@ -58,7 +58,7 @@
 
         Args:
             rejection: Why, and what is promised.
-            states_outcome: Whether the client is told if the request may have been executed.
+            states_outcome: Whether the response states if the request may have been executed.
             request: The request; None if it could not be parsed.
         """
         value: dict[str, object] = {"reject": rejection.reason}
--- a/src/willowpost/proxy/origin/connection_pool.py
+++ b/src/willowpost/proxy/origin/connection_pool.py
@@ -11,7 +11,7 @@
 
 MAX_IDLE_CONNECTIONS = 32  # of one owner
 MAX_IDLE_US = 10 * SECOND
-# an idle connection is closed so long before the other side says that it closes it
+# an idle connection is closed so long before the time-out that the other side announced
 KEEP_ALIVE_MARGIN_US = 1_500_000
 KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
--- a/src/willowpost/proxy/origin/response_reader.py
+++ b/src/willowpost/proxy/origin/response_reader.py
@@ -179,7 +179,7 @@
         return bool(data) or parser.is_complete
 
     def _finish(self, incoming: IncomingResponse, body_size: int) -> None:
-        """Checks a response that has ended, and tells the connection whether it can be reused.
+        """Checks a response that has ended, and marks whether its connection can be reused.
 
         Raises:
             ValueError: The body ended short or does not match its digest.
--- a/src/willowpost/proxy/routing/attempt_resources.py
+++ b/src/willowpost/proxy/routing/attempt_resources.py
@@ -30,7 +30,7 @@
     is_reused: bool
 
     def check_instance(self, instance_check: InstanceCheck, seconds: float) -> None:
-        """Asks which process answers; see `Exchange.check_instance`."""
+        """Checks which process answers; see `Exchange.check_instance`."""
 
     def run(
         self,
--- a/src/willowpost/proxy/routing/collapsed_fetches.py
+++ b/src/willowpost/proxy/routing/collapsed_fetches.py
@@ -118,7 +118,7 @@
                 del self.in_flight[key]
 
     def _may_join(self, fetch: FetchInFlight, request: Request, plan: FetchPlan) -> bool:
-        """Whether no purge has hit the fetch since it began, and the request asks for the same."""
+        """Whether no purge has hit the fetch since it began, and the request is for the same."""
         return not self.cache.is_purged_since(fetch.slot, request.host, request.target) and (
             plan.fetches_complete or "range" not in request.headers
         )
--- a/src/willowpost/registry/api/purges.py
+++ b/src/willowpost/registry/api/purges.py
@@ -21,7 +21,7 @@
 
     Attributes:
         kind: item: one path, with all its queries if it names none; prefix: all paths that begin
-            with it; all: the whole host; tag: all items with a tag, of every host.
+            with it; all: everything of the host; tag: all items with a tag, of every host.
         host: "*" for every host; not used for a tag.
         path: of an item or prefix, with or without a query; else None.
         tag: of a tag, else None.
--- a/src/willowpost/shell/http_parser.py
+++ b/src/willowpost/shell/http_parser.py
@@ -23,7 +23,7 @@
     spec = PathFinder.find_spec(MODULE, package.submodule_search_locations)
     if spec is None or spec.loader is None:
         raise ModuleNotFoundError(MODULE, name=MODULE)
-    with blocked_imports("ssl"):  # by way of http.client, whose exceptions it shares
+    with blocked_imports("ssl"):  # imported by http.client, whose exceptions it shares
         parser = module_from_spec(spec)
         spec.loader.exec_module(parser)
     return parser
--- a/src/willowpost/shell/process_settings.py
+++ b/src/willowpost/shell/process_settings.py
@@ -78,7 +78,8 @@
     def store_shutdown_timeouts(self) -> StoreShutdownTimeouts:
         """Return a store's time-outs, in µs.
 
-        A hand-over may take the whole graceful shutdown, a restart only its last phase.
+        A hand-over may take as long as all stages of a graceful shutdown, a restart as long as the
+        last one.
         """
         total_ms = self.drain_ms + self.finish_ms + self.leave_ms
         return StoreShutdownTimeouts(total_ms * MILLISECOND, self.leave_ms * MILLISECOND)
--- a/src/willowpost/shell/retrying_disk.py
+++ b/src/willowpost/shell/retrying_disk.py
@@ -54,7 +54,7 @@
         self._retry(self.disk.append, records)
 
     def rotate(self, records: list[Record]) -> None:
-        """Start a new segment with these records in place of the older ones.
+        """Replace all segments by a new one with these records.
 
         Raises:
             OSError: a failure that waiting does not repair.
--- a/src/willowpost/shell/segment_format.py
+++ b/src/willowpost/shell/segment_format.py
@@ -36,7 +36,7 @@
 
 
 def segment_lines(records: list[Record]) -> Iterator[bytes]:
-    """Yield a whole segment line by line, so that a large snapshot is not copied in memory.
+    """Yield a segment line by line, so that a large snapshot is not copied in memory.
 
     Each record has its own line, so that damage can be located.
     """
@@ -46,7 +46,7 @@
 
 
 def encode_segment(records: list[Record]) -> bytes:
-    """Return the bytes of a whole segment."""
+    """Return the bytes of a segment."""
     return b"".join(segment_lines(records))
 
 
--- a/src/willowpost/state/apply/daemons.py
+++ b/src/willowpost/state/apply/daemons.py
@@ -60,7 +60,7 @@
 
 
 def with_daemon(tables: Tables, daemon: DaemonEntry) -> Tables:
-    """Return the tables with this entry in place of the daemon's previous one."""
+    """Return the tables with this entry, which replaces the daemon's previous one."""
     return replace(tables, daemons={**tables.daemons, daemon.id: daemon})
 
 
--- a/src/willowpost/state/codec/operations.py
+++ b/src/willowpost/state/codec/operations.py
@@ -160,7 +160,7 @@
     name = OPERATION_NAMES[type(operation)]
     stored = {"op": name, **OPERATIONS[name].encode(operation)}
     if isinstance(operation, ConfigurationProposal) and operation.tree_delta is not None:
-        # a difference says explicitly that it stands in place of a tree and its source
+        # a difference states explicitly that it replaces a tree and its source
         stored |= {"tree": None, "source": None}
     return stored
 
--- a/src/willowpost/state/codec/results.py
+++ b/src/willowpost/state/codec/results.py
@@ -25,9 +25,11 @@
         self.known = frozenset({"ok", *names.values()})
 
     def encode(self, result: T) -> JsonObject:
+        """Return the stored form of a result."""
         return {"ok": True, **self.records.encode(result)}
 
     def fits(self, names: frozenset[str]) -> bool:
+        """Whether a stored result with these names is of this kind."""
         return self.required <= names <= self.known
 
 
--- a/src/willowpost/state/entries.py
+++ b/src/willowpost/state/entries.py
@@ -164,7 +164,7 @@
 
 
 class PurgeKind(StrEnum):
-    """What a purge names: one path, all paths with a prefix, a whole host, or a tag."""
+    """What a purge names: one path, all paths with a prefix, all paths of a host, or a tag."""
 
     ITEM = "item"
     PREFIX = "prefix"
--- a/src/willowpost/state/snapshot_transfer.py
+++ b/src/willowpost/state/snapshot_transfer.py
@@ -42,8 +42,8 @@
         Args:
             tables: the tables of this daemon.
             requester_slot: the slot that the requester has reached; NO_SLOT if it has no tables.
-            floor: the first slot whose decision is kept here; those that follow an older snapshot
-                are not.
+            floor: the first slot whose decision is kept here; a snapshot of an older slot is of no
+                use.
             request: the requester's offset in its transfer, if one is in progress.
             now: µs, own clock.
         """
@@ -69,8 +69,8 @@
 class SnapshotReceiver:
     """Collects the chunks of one snapshot.
 
-    It holds the first `received` characters of the text of `slot`. Another snapshot takes its place
-    only if no chunk has come for ABANDONED_AFTER_US.
+    It has the first `received` characters of the text of `slot`. Another snapshot replaces it only
+    if no chunk has come for ABANDONED_AFTER_US.
     """
 
     def __init__(self) -> None:
--- a/src/willowpost/wire/messages/catch_up.py
+++ b/src/willowpost/wire/messages/catch_up.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """Asks for the rest of a snapshot's text.
+    """Requests the rest of a snapshot's text.
 
     Attributes:
         slot: the snapshot's slot.
@@ -25,7 +25,7 @@
     Attributes:
         slot: the snapshot's slot.
         offset: the index of the chunk's first character.
-        total: length of the whole text in characters.
+        total: length of the complete text in characters.
         text: the chunk.
     """
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchupRequest:
-    """Asks a store for decisions, a snapshot or the body of a command.
+    """Requests decisions, a snapshot or the body of a command from a store.
 
     Attributes:
         slot: the first slot whose decision is missing.
@@ -60,7 +60,7 @@
         slot: the slot after the last decision; with a chunk, the sender's own slot; with a
             command, the requested slot.
         decisions: from the requested slot on.
-        snapshot: the whole text of a snapshot; empty: none.
+        snapshot: the complete text of a snapshot; empty: none.
         command: the requested command; None: none.
         chunk: a chunk of a snapshot; None: none.
     """
--- a/src/willowpost/wire/messages/follower.py
+++ b/src/willowpost/wire/messages/follower.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumReadRequest:
-    """Asks a voter for its slot, in a quorum read."""
+    """Requests a voter's slot, in a quorum read."""
 
     nonce: int = 0
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """Asks for state updates; sent by a daemon that follows the log without a vote.
+    """Requests state updates; sent by a daemon that follows the log without a vote.
 
     Attributes:
         nonce: repeated in the `StateUpdate`.
@@ -49,7 +49,7 @@
         age_us: µs since the moment as of which the sender's tables were known to be complete.
         is_fresh: whether `age_us` is known and holds for the follower once it has reached `slot`.
         decisions: from the polled slot on.
-        snapshot: the whole text of a snapshot; empty: none.
+        snapshot: the complete text of a snapshot; empty: none.
         chunk: a chunk of a snapshot; None: none.
     """
 
--- a/src/willowpost/wire/messages/quota.py
+++ b/src/willowpost/wire/messages/quota.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaShareRequest:
-    """Asks the owner of a service's quota for a share.
+    """Requests a quota share from the owner of a service's quota.
 
     Attributes:
         nonce: repeated in the response.
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionTokenRequest:
-    """Asks a service's owner for one admission token.
+    """Requests one admission token from a service's owner.
 
     Attributes:
         nonce: repeated in the response.
