--- a/src/willowpost/proxy/routing/origin_attempts.py
+++ b/src/willowpost/proxy/routing/origin_attempts.py
@@ -17,7 +17,7 @@
 from willowpost.proxy.routing.sending import ForwardedRequest, Receiver, Sender
 
 # How long an origin is ejected after a failure, in µs.
-EJECTION_US = {
+EJECTION_US_BY_REASON = {
     FailureReason.CONNECTION_FAILED: SECOND,
     FailureReason.INCARNATION: 5 * SECOND,
     FailureReason.BUSY: 100 * MILLISECOND,
@@ -161,7 +161,9 @@
     def _record_failure(self, selected: AdmittedOrigin, failure: ExchangeError) -> None:
         """Ejects the origin for a while, and lets it warm up if its process has ended."""
         now, origin_name = self.resources.clock.now(), selected.origin.name
-        self.resources.origin_selector.eject(origin_name, now, EJECTION_US[failure.reason])
+        self.resources.origin_selector.eject(
+            origin_name, now, EJECTION_US_BY_REASON[failure.reason]
+        )
         is_unreachable = failure.timed_out and not failure.was_sent
         # The end of a named incarnation shows by 421, so a request that was sent does not count.
         has_ended = failure.is_process_gone and not (
