--- a/src/willowpost/sim/fleet/faults/network.py
+++ b/src/willowpost/sim/fleet/faults/network.py
@@ -108,7 +108,7 @@
     def reset_connections(self):
         """Some proxies have all their connections to origins and shields reset."""
         for name in self._up(self._some([*self.world.edges, *self.world.shields], 3)):
-            self.world.seats[name].node.fault_injector.reset()
+            self.world.seats[name].node.request_io.reset()
 
     def reload_settings(self):
         """The settings of some machines name the seeds anew, and they are told while they run."""
--- a/src/willowpost/sim/fleet/nodes.py
+++ b/src/willowpost/sim/fleet/nodes.py
@@ -23,8 +23,8 @@
 from willowpost.registry.node import RegistryNode
 from willowpost.registry.origin_health import HealthCheckFinished, HeartbeatReceived
 from willowpost.registry.origin_lookup import find_incarnation
-from willowpost.sim.fleet.fault_injector import SimClock, SimFaultInjector
 from willowpost.sim.fleet.messages import SimAnswer, SimBeat, SimCall, SimRequest
+from willowpost.sim.fleet.request_io import SimClock, SimRequestIO
 from willowpost.state.entries import DaemonDescriptor
 from willowpost.state.operations import RegisterOrigin
 from willowpost.wire.messages import OriginHeartbeat
@@ -41,7 +41,7 @@
         self.node = ProxyNode(descriptor, seeds, wall)
         self.proxy = self.node.node_state
         self.stats = Counter()
-        self.fault_injector = SimFaultInjector(world, seat)
+        self.request_io = SimRequestIO(world, seat)
         clock = SimClock(world, seat)
         self.attempts = Attempts(
             AttemptResources(
@@ -53,7 +53,7 @@
                 origin_selector=OriginSelector(
                     descriptor.zone, world.chance, lambda: self.proxy.reports
                 ),
-                io=self.fault_injector,
+                io=self.request_io,
                 stats=self.stats,
                 outgoing=OutgoingRequests(self.proxy, clock.now),
             )
@@ -78,7 +78,7 @@
             return plan
         match event:
             case Received(_, SimAnswer() as answer):
-                self.fault_injector.answered(answer)
+                self.request_io.answered(answer)
                 return Plan()
             case Received(source, SimCall() as call):
                 self._spawn(self._serve, source, call.number, call.request, call.body, None)
@@ -106,7 +106,7 @@
         plan = self.node.step(event, now)
         for ticket, given in plan.replies:
             if isinstance(ticket, tuple):
-                self.fault_injector.told(ticket, given)
+                self.request_io.told(ticket, given)
         return plan
 
     def _closed(self, message):
@@ -118,7 +118,7 @@
     def _spawn(self, call, *args):
         task = greenlet(call)
         task.switch(*args)
-        self.fault_injector.flush()
+        self.request_io.flush()
 
     def _serve(self, source, number, request, body, incarnation):
         self.in_flight += 1
@@ -151,7 +151,7 @@
                 reject.reason.encode(),
                 incarnation=self.seat.incarnation,
             )
-        self.fault_injector.sends.append((source, answer))
+        self.request_io.sends.append((source, answer))
 
 
 class SimRegistry:
--- a/src/willowpost/sim/fleet/fault_injector.py
+++ b/src/willowpost/sim/fleet/request_io.py
@@ -25,44 +25,44 @@
 class SimWaiter:
     """A one-time value that simulated tasks wait for, like gevent's AsyncResult."""
 
-    def __init__(self, fault_injector):
-        self.fault_injector, self.value, self.sleepers = fault_injector, None, []
+    def __init__(self, request_io):
+        self.request_io, self.value, self.sleepers = request_io, None, []
 
     def set(self, value):
         """Sets the value and wakes all who wait for it."""
         self.value = (value,)
         sleepers, self.sleepers = self.sleepers, []
         for sleeper in sleepers:
-            self.fault_injector.world.at(0, self.fault_injector.wake, sleeper, None)
+            self.request_io.world.at(0, self.request_io.wake, sleeper, None)
 
     def wait(self, seconds):
         """The value, or None if it is not set within `seconds`."""
         if self.value is None:
             sleeper = getcurrent()
             self.sleepers.append(sleeper)
-            self.fault_injector.world.at(int(seconds * SECOND), self._give_up, sleeper)
-            self.fault_injector.pause()
+            self.request_io.world.at(int(seconds * SECOND), self._give_up, sleeper)
+            self.request_io.pause()
         return None if self.value is None else self.value[0]
 
     def _give_up(self, sleeper):
         if sleeper in self.sleepers:
             self.sleepers.remove(sleeper)
-            self.fault_injector.wake(sleeper, None)
+            self.request_io.wake(sleeper, None)
 
 
 class SimExchange:
     """A virtual connection, with the interface of origin.exchange.Exchange.
 
     Args:
-        fault_injector: Sends its messages.
+        request_io: Sends its messages.
         owner: Whom the connection belongs to in the pool.
         address: The other side.
         incarnation: The other side's incarnation that accepted the connection.
     """
 
-    def __init__(self, fault_injector, owner, address, incarnation):
-        self.fault_injector, self.owner, self.address, self.incarnation = (
-            fault_injector,
+    def __init__(self, request_io, owner, address, incarnation):
+        self.request_io, self.owner, self.address, self.incarnation = (
+            request_io,
             owner,
             address,
             incarnation,
@@ -75,9 +75,9 @@
         Raises:
             ExchangeError: There was no valid answer, or it comes from another process.
         """
-        answer = self.fault_injector.call(
+        answer = self.request_io.call(
             self.address,
-            SimRequest(self.fault_injector.next(), "GET", HEALTH, (), "", self.incarnation),
+            SimRequest(self.request_io.next(), "GET", HEALTH, (), "", self.incarnation),
             int(seconds * SECOND),
         )
         if answer is None or not answer.whole:
@@ -94,10 +94,10 @@
             ExchangeError: No whole response came from the incarnation that the connection belongs
                 to.
         """
-        answer = self.fault_injector.call(
+        answer = self.request_io.call(
             self.address,
             SimRequest(
-                self.fault_injector.next(),
+                self.request_io.next(),
                 request.method,
                 request.target,
                 tuple(request.headers),
@@ -123,7 +123,7 @@
         """Virtual connections are counted by the fault injector alone."""
 
 
-class SimFaultInjector:
+class SimRequestIO:
     """The simulated counterpart of OriginConnections, and the scheduler of request tasks.
 
     A task of an incarnation that has ended is never woken.
--- a/tools/rename_identifiers.py
+++ b/tools/rename_identifiers.py
@@ -1,6 +1,6 @@
-"""Renames the words of the withdrawn house style to the field's standard terms, in code, settings.
+"""Renames the words of the withdrawn house style in code, settings, calls, schema and docs.
 
-Calls, schema and docs.
+Each word becomes the field's standard term.
 
 Usage: ``python tools/rename_identifiers.py ROOT``, once, on a tree that still has the old words.
 The script stays in the repository until the pieces of work that are parked in history have been
@@ -40,7 +40,7 @@
     "knocked": "instance_checked", "knocking": "instance_checks", "question": "quorum_read", "news": "state_update",
     "forsaken": "without_source", "clerk": "command_client", "desk": "control_api", "doubt": "suspicion",
     "doubts": "suspicions", "doubted": "suspected", "doubters": "suspecting", "generation": "version",
-    "generations": "versions", "presser": "sender", "pressers": "senders", "hands": "fault_injector",
+    "generations": "versions", "presser": "sender", "pressers": "senders", "hands": "request_io",
     "ghosts": "simulated_peers", "hollow": "lightweight", "blow": "fault", "blows": "faults", "storm": "fault_schedule",
     "storms": "fault_schedules", "calm": "bounded", "shed": "reject", "sheds": "rejects", "way": "route", "ways": "routes",
     "draw": "pick", "drawn": "picked", "draws": "picks", "drawing": "picking", "group": "service", "groups": "services",
@@ -66,7 +66,7 @@
     "TokenAsk": "AdmissionTokenAsk", "TokenTell": "AdmissionTokenTell", "TokenOwner": "AdmissionTokenOwner",
     "TokenTaker": "AdmissionTokenTaker", "TokenWanted": "AdmissionTokenWanted", "base_share": "base_quota_of",
     "BASE_PART": "BASE_QUOTA_PART", "base_parts": "base_quota_parts", "PER_PRESSER": "RATE_PER_SENDER",
-    "CalmStorm": "BoundedFaultSchedule", "Calm": "BoundedFaults", "calm": "bounded", "SimHands": "SimFaultInjector",
+    "CalmStorm": "BoundedFaultSchedule", "Calm": "BoundedFaults", "calm": "bounded", "SimHands": "SimRequestIO",
     "Ghosts": "SimulatedPeers", "HollowFleet": "LightweightFleet", "Hollow": "Lightweight", "Clerk": "CommandClient",
     "Desk": "ControlApi", "Knock": "InstanceCheck", "grow": "add_voters", "grown": "with_voters_added",
     "grows": "voter_offer", "_may_grow": "_may_add_voters", "Joined": "Joined", "DaemonProps": "DaemonSettings",
