--- a/src/willowpost/node/quorum_read.py
+++ b/src/willowpost/node/quorum_read.py
@@ -23,8 +23,8 @@
     `fresh_as_of` becomes the time of the request only if n - f voters of the tables, queried under
     one epoch, all named a slot that the tables have reached. What was accepted before is on n - f
     disks of the voters then, or behind a replacement that the barrier of a new epoch put on n - f
-    disks of the former ones, so one of the voters asked would have named it (rabia.md, exception
-    1).
+    disks of the former ones, so one of the voters that answered would have named it (rabia.md,
+    exception 1).
     """
 
     def __init__(self, node_state: NodeState, follower: Follower) -> None:
--- a/src/willowpost/proxy/admission/retry_budget.py
+++ b/src/willowpost/proxy/admission/retry_budget.py
@@ -24,7 +24,7 @@
         window_us: Length of the window, in µs.
         usable_fraction: The fraction of the budget that is ever used; the rest is for first
             attempts that are counted here and arrive in another window.
-        max_delay_us: How long an attempt may be on its way before it is lost, in µs.
+        max_delay_us: How long an attempt may be in transit before it is lost, in µs.
         min_helped_fraction: The fraction of what is usable that stays even if no retry helps, to
             notice when they do again; 1 for a budget that does not adapt.
     """
--- a/src/willowpost/proxy/cache/purges.py
+++ b/src/willowpost/proxy/cache/purges.py
@@ -22,7 +22,7 @@
 
 
 class PurgeMatcher:
-    """Matches keys with many purges at once; purges of single items are looked up by their path.
+    """Matches keys with many purges at once; purges of single items are found by their path.
 
     Purges by tag are not matched here, but found by the TagIndex.
 
--- a/src/willowpost/proxy/cache/store.py
+++ b/src/willowpost/proxy/cache/store.py
@@ -110,7 +110,7 @@
     def purge(self, tables: Tables) -> None:
         """Carries out all purges in the tables that are new to the cache.
 
-        If some of them are no longer listed, the whole cache is cleared.
+        If some of them are no longer listed, the cache is emptied.
         """
         known_slot, self.slot = self.slot, tables.slot
         self.purges, self.purge_floor = tables.purges, tables.purge_floor
--- a/src/willowpost/proxy/client/request_head.py
+++ b/src/willowpost/proxy/client/request_head.py
@@ -16,7 +16,7 @@
 class ClientRequestHead:
     """A request's head as it was received.
 
-    Invariants: header names are in lower case; the body is framed in one way at most.
+    Invariants: header names are in lower case; the body has one framing at most.
 
     Args:
         data: The bytes of the head, without the empty line that ends it.
--- a/src/willowpost/proxy/daemon.py
+++ b/src/willowpost/proxy/daemon.py
@@ -101,7 +101,7 @@
     def stop(self) -> None:
         """Shuts down gracefully; returns when the process may end.
 
-        The port is closed and connections take no new requests as soon as the shutdown says so.
+        The port is closed and connections take no new requests from the stage FINISHING on.
         """
         self.runner.shut_down(self._close)
 
--- a/src/willowpost/proxy/origin/exchange.py
+++ b/src/willowpost/proxy/origin/exchange.py
@@ -41,7 +41,7 @@
 class Exchange:
     """One request on one connection.
 
-    run() returns a checked response to this very request or raises ExchangeError, which says
+    run() returns a checked response to this very request or raises ExchangeError, which states
     whether a byte may have left.
 
     Args:
--- a/src/willowpost/proxy/routing/headers.py
+++ b/src/willowpost/proxy/routing/headers.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardOptions:
-    """What a forwarded request asks for besides the caller's own headers.
+    """What is added to a forwarded request besides the caller's own headers.
 
     Attributes:
         cached_entry: A stored response to be revalidated (RFC 9111, 4.3), or None.
@@ -106,7 +106,7 @@
     Args:
         request: The caller's request.
         names: Header names shared with origins.
-        options: What the request asks for besides.
+        options: What is added to the caller's own headers.
     """
     replaced = {names.request_id, names.remaining_time, names.incarnation}
     incarnation = [] if options.incarnation is None else [(names.incarnation, options.incarnation)]
@@ -129,7 +129,7 @@
     Args:
         request: The caller's request.
         names: Header names shared with callers.
-        options: What the request asks for besides.
+        options: What is added to the caller's own headers.
         hop: What the edge sends the shield about it.
     """
     replaced = {names.request_id, names.remaining_time}
--- a/src/willowpost/proxy/routing/origin_attempts.py
+++ b/src/willowpost/proxy/routing/origin_attempts.py
@@ -63,7 +63,7 @@
             history: The attempts made so far; updated.
 
         Raises:
-            ExchangeError: No valid response came, or the origin said that it has not run the
+            ExchangeError: No valid response came, or the origin reported that it has not run the
                 request.
             RequestRejectedError: No origin may be tried now, or the proxy has no lease any more.
             ClientDisconnected: Nobody waits for the response any more.
--- a/src/willowpost/registry/api/log_client.py
+++ b/src/willowpost/registry/api/log_client.py
@@ -26,7 +26,7 @@
 from willowpost.state.results import Reason, Rejected, Result
 from willowpost.state.tables import Tables
 
-# Within this time a response is on its way before the caller has waited for a second.
+# A response that leaves by then reaches the caller before it has waited for a second.
 CALL_TIMEOUT_US = 850_000
 # Callers wait longer for large bodies, which also take longer to check: 4 s for each further MB.
 LARGE_BODY_BYTES = 64 * 1024
--- a/src/willowpost/registry/origin_health.py
+++ b/src/willowpost/registry/origin_health.py
@@ -165,7 +165,7 @@
     def _reported_change(self, heartbeat: OriginHeartbeat, state: OriginState) -> ChangeOriginState:
         """Return the operation for a heartbeat, fenced: the log rejects that of an older one.
 
-        For a warm origin the slot tells which restoring of its zone this registry knew of.
+        For a warm origin the slot shows which restoring of its zone this registry knew of.
         """
         return ChangeOriginState(
             state,
--- a/src/willowpost/shell/sized_queue.py
+++ b/src/willowpost/shell/sized_queue.py
@@ -11,7 +11,7 @@
 class SizedQueue:
     """A queue that drops what exceeds its bounds, as a network does; senders repeat it.
 
-    An item larger than the whole queue is taken when no other sized item waits.
+    An item larger than the queue's bound is taken when no other sized item waits.
 
     Attributes:
         size_bytes: the size of all items offered and not yet taken out.
@@ -71,6 +71,6 @@
     """Return a queue for the events of a node.
 
     The task that steps the node takes nothing out while its disk stalls, and peers go on sending
-    ballot states that contain whole configurations.
+    ballot states that contain configurations of many MB.
     """
     return SizedQueue(MAX_INBOX_EVENTS, MAX_INBOX_BYTES)
--- a/src/willowpost/shell/web.py
+++ b/src/willowpost/shell/web.py
@@ -57,7 +57,7 @@
         path: without the query.
         query: what follows "?"; empty: none.
         headers: by name in lower case.
-        body: the whole body.
+        body: the complete body.
         params: the path's segments that match a "*" of the route.
     """
 
--- a/src/willowpost/state/apply/voters.py
+++ b/src/willowpost/state/apply/voters.py
@@ -192,7 +192,7 @@
 
 
 def is_spread(before: tuple[Member, ...], voters: tuple[Member, ...]) -> bool:
-    """Whether no zone holds more voters than may fail, or than the fullest zone held before.
+    """Whether no zone has more voters than may fail, or than the fullest zone had before.
 
     With few zones the bootstrap members leave no better choice, and a voter that stays lost is
     worse than a replacement in another zone.
--- a/src/willowpost/state/configuration_changes.py
+++ b/src/willowpost/state/configuration_changes.py
@@ -77,7 +77,7 @@
         version: The version that it made.
         based_on: The version that its sender required; None if it required none.
         content: Digest of the configuration in force from then on; None if it was not proposed.
-        patch: Digest of the patch as it was sent; None if the whole configuration was sent.
+        patch: Digest of the patch as it was sent; None if the complete configuration was sent.
         key: Digest of the idempotency key; None if there was none.
     """
 
--- a/src/willowpost/store/graceful_shutdown.py
+++ b/src/willowpost/store/graceful_shutdown.py
@@ -1,6 +1,6 @@
 """A store's planned end: hand its vote over, or make sure that other voters have its data.
 
-A signal tells the store only that its process is to end, not whether its disk stays. If a learner
+A signal requests only the end of the process; whether the disk stays is not known. If a learner
 may replace the voter, the machine is likely to be removed together with its disk: the store reports
 that it is draining, the learner replaces it by a decision of the log, and the store goes on serving
 as a voter, then as a source, until the new epoch has begun, so that n - f of the new voters have
--- a/src/willowpost/store/main.py
+++ b/src/willowpost/store/main.py
@@ -18,7 +18,7 @@
   <info>wpstore --name core-1 --zone a --address 127.0.0.1:7001 \
 --seeds 127.0.0.1:7002,127.0.0.1:7003 --data ./core-1</info>
 
-As many empty stores as the setting <info>voters</info> says (five by default) bootstrap the fleet,
+As many empty stores as <info>voters</info> requires (five by default) bootstrap the fleet,
 once they find each other through their seeds. A store whose folder was lost comes back
 under a new identity, catches up, and replaces its former identity as a voter."""
     required_settings = ("data",)
--- a/src/willowpost/wire/messages/consensus.py
+++ b/src/willowpost/wire/messages/consensus.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """The decision of a slot, one in the whole fleet; an empty key is NULL, without a command."""
+    """The decision of a slot, the same at all replicas; an empty key is NULL, without a command."""
 
     slot: int = 0
     key: str = ""
