--- a/src/willowpost/proxy/client/request_head.py
+++ b/src/willowpost/proxy/client/request_head.py
@@ -16,7 +16,7 @@
 class ClientRequestHead:
     """A request's head as it was received.
 
-    Invariants: header names are in lower case; the body is framed in one way at most.
+    Invariants: header names are in lower case; the body has one framing at most.
 
     Args:
         data: The bytes of the head, without the empty line that ends it.
@@ -27,7 +27,7 @@
         headers: Lower-case name to value; repeated headers are joined with commas.
         length: The body's Content-Length in bytes, or None.
         is_chunked: Whether the body comes in chunks.
-        accepts_interim: Whether its sender takes interim responses (1xx), as HTTP/1.1 says.
+        accepts_interim: Whether its sender takes interim responses (1xx), as HTTP/1.1 clients must.
         closes_connection: Whether the connection ends with the response.
 
     Raises:
--- a/src/willowpost/proxy/routing/headers.py
+++ b/src/willowpost/proxy/routing/headers.py
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardOptions:
-    """What a forwarded request asks for besides the caller's own headers.
+    """What is added to a forwarded request besides the caller's own headers.
 
     Attributes:
         cached_entry: A stored response to be revalidated (RFC 9111, 4.3), or None.
         remaining_us: How long the caller still waits, in µs, or None if it did not say.
         incarnation: The origin's incarnation that the request is meant for, or None.
-        fetches_complete: Whether to ask for the complete object, whatever range the caller wants.
+        fetches_complete: Whether to request the complete object, whatever range the caller wants.
     """
 
     cached_entry: CacheEntry | None = None
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShieldHop:
-    """What an edge tells a shield about a request.
+    """What an edge sends a shield about a request.
 
     Attributes:
         edge_id: The edge's id.
@@ -106,7 +106,7 @@
     Args:
         request: The caller's request.
         names: Header names shared with origins.
-        options: What the request asks for besides.
+        options: What is added to the caller's own headers.
     """
     replaced = {names.request_id, names.remaining_time, names.incarnation}
     incarnation = [] if options.incarnation is None else [(names.incarnation, options.incarnation)]
@@ -129,8 +129,8 @@
     Args:
         request: The caller's request.
         names: Header names shared with callers.
-        options: What the request asks for besides.
-        hop: What the edge tells the shield.
+        options: What is added to the caller's own headers.
+        hop: What the edge sends the shield about it.
     """
     replaced = {names.request_id, names.remaining_time}
     return [
--- a/src/willowpost/proxy/routing/request.py
+++ b/src/willowpost/proxy/routing/request.py
@@ -31,7 +31,8 @@
         request_id: The caller's id of this request, or None.
         timeout_us: How long the caller waits from `received_at` on, in µs, or None if it did not
             say.
-        received_at: When the head was complete, by this process's clock, in µs.
+        received_at: When the head was complete, or the body if it has one, by this process's clock,
+            in µs.
         lifetime: Whether anybody still waits for the response.
     """
 
@@ -117,7 +118,7 @@
         cached_entry: A stale stored response to be revalidated, or None.
         attempt_limit: How many attempts may be made.
         service: The service to send it to.
-        fetches_complete: Whether to ask for the complete object, whatever range the caller wants.
+        fetches_complete: Whether to request the complete object, whatever range the caller wants.
         byte_range: The range to cut from the complete response, or None.
     """
 
--- a/src/willowpost/state/codec/results.py
+++ b/src/willowpost/state/codec/results.py
@@ -10,7 +10,7 @@
 
 
 class _ResultCodec(Generic[T]):
-    """A `RecordCodec` whose object also says that the operation was accepted."""
+    """A `RecordCodec` whose object also states that the operation was accepted."""
 
     def __init__(self, kind: type[T], **names: str):
         optional = {field.name for field in fields(kind) if field.default is None}  # type: ignore[arg-type]
@@ -25,9 +25,11 @@
         self.known = frozenset({"ok", *names.values()})
 
     def encode(self, result: T) -> JsonObject:
+        """Return the stored form of a result."""
         return {"ok": True, **self.records.encode(result)}
 
     def fits(self, names: frozenset[str]) -> bool:
+        """Whether a stored result with these names is of this kind."""
         return self.required <= names <= self.known
 
 
--- a/src/willowpost/state/snapshot_transfer.py
+++ b/src/willowpost/state/snapshot_transfer.py
@@ -10,7 +10,7 @@
 
 CHUNK_BYTES = 64 * 1024  # less than a link of 600 KB/s passes between two polls
 RETENTION_US = 3 * SECOND  # a text without a request for so long is dropped
-STALLED_AFTER_US = 500 * MILLISECOND  # without a chunk for so long, another source is asked
+STALLED_AFTER_US = 500 * MILLISECOND  # without a chunk for so long, another source is tried
 # and after so long its snapshot of another slot is begun; between the two, a link with a round trip
 # above STALLED_AFTER_US still ends a transfer
 ABANDONED_AFTER_US = 1_500 * MILLISECOND
@@ -42,8 +42,8 @@
         Args:
             tables: the tables of this daemon.
             requester_slot: the slot that the requester has reached; NO_SLOT if it has no tables.
-            floor: the first slot whose decision is kept here; those that follow an older snapshot
-                are not.
+            floor: the first slot whose decision is kept here; a snapshot of an older slot is of no
+                use.
             request: the requester's offset in its transfer, if one is in progress.
             now: µs, own clock.
         """
@@ -69,8 +69,8 @@
 class SnapshotReceiver:
     """Collects the chunks of one snapshot.
 
-    It holds the first `received` characters of the text of `slot`. Another snapshot takes its place
-    only if no chunk has come for ABANDONED_AFTER_US.
+    It has the first `received` characters of the text of `slot`. Another snapshot replaces it only
+    if no chunk has come for ABANDONED_AFTER_US.
     """
 
     def __init__(self) -> None:
