--- a/src/willowpost/toolbox/log_replay.py
+++ b/src/willowpost/toolbox/log_replay.py
@@ -5,9 +5,9 @@
 from willowpost.common.errors import WillowpostError
 from willowpost.consensus.replica.records import (
     RecordKind,
+    bootstrap_voters_of,
     command_from,
     decision_from,
-    founding_voters,
 )
 from willowpost.shell.disk import segment_names
 from willowpost.shell.segment_format import parse_segment
@@ -43,7 +43,7 @@
                 break
             match record["k"]:
                 case RecordKind.FOUND:
-                    tables = Tables(epoch=1, voters=founding_voters(record))
+                    tables = Tables(epoch=1, voters=bootstrap_voters_of(record))
                 case RecordKind.SNAPSHOT:
                     tables = tables_from(record["text"])
                 case RecordKind.BALLOT_STATE:
